--- a/sim/sidecar_instance.cc
+++ b/sim/sidecar_instance.cc
@@ -78,7 +78,7 @@
 void SidecarInstance::beat() {
     instance::Heartbeat heartbeat;
     heartbeat.id = id_;
-    heartbeat.born_ms = options_.tells_start ? born_ms_ : 0;
+    heartbeat.start_ms = options_.tells_start ? born_ms_ : 0;
     heartbeat.service = options_.service;
     heartbeat.slots = options_.slots;
     heartbeat.is_draining = is_draining_;
--- a/src/adapters/sidecar_metrics.cc
+++ b/src/adapters/sidecar_metrics.cc
@@ -63,12 +63,12 @@
     setGauge("dewcrank_instance_demand", "Slots that all requests would need, refused ones included.", own.demand);
     setGauge("dewcrank_instance_busy", "Slots in use, mean of a second.", own.busy);
     setGauge("dewcrank_instance_level", "Share of the requests upstream to admit.", own.level());
-    const auto& repeats = node.relay().repeatTotals();
+    const auto& repeats = node.relay().retryTotals();
     setGauge("dewcrank_repeat_requests", "Requests that repeats are allowed for, since the start.", repeats.requests);
     setGauge("dewcrank_repeats_inherited", "Calls of repeated runs, since the start.", repeats.inherited);
     setGauge("dewcrank_repeats_granted", "Repeats let in, since the start.", static_cast<double>(repeats.granted));
     setGauge("dewcrank_repeats_denied", "Repeats denied, since the start.", static_cast<double>(repeats.denied));
-    const auto window = node.repeatWindow();
+    const auto window = node.retryWindow();
     setGauge("dewcrank_repeats_window", "Repeats in the last window, inherited ones included.", window.repeats);
     setGauge("dewcrank_repeats_window_allowed", "This relay's part of the bound in the last window.", window.allowed);
     setGauge("dewcrank_least_level", "Least level of a service that this node calls.", node.leastBottleneck().level);
@@ -98,7 +98,7 @@
     setGauge("dewcrank_store_era", "Raised each time that the store comes back from an older copy; 0: it tells none.",
              static_cast<double>(node.storeEra()));
     setGauge("dewcrank_instance_lives", "Lives of instances that are remembered.",
-             static_cast<double>(node.rememberedLives()));
+             static_cast<double>(node.knownIncarnations()));
     setGauge("dewcrank_ready", "1 if callers may be sent here.", node.isReady() ? 1 : 0);
     setGauge("dewcrank_caller_connections", "Open connections of callers.",
              static_cast<double>(figures.caller_connections));
--- a/src/entry/entry_call.cc
+++ b/src/entry/entry_call.cc
@@ -69,12 +69,12 @@
 }
 
 /// Nothing is repeated while what runs below is overloaded, so that no relay has to pay for it.
-relay::FailurePlan EntryCall::failurePlan() const {
+relay::RetryPolicy EntryCall::failurePlan() const {
     const bool is_last = offered_ + 1 >= plan_.route->max_attempts();
     if (is_last || services_.is_overloaded(plan_) || !services_.selector.hasReachable(plan_.service, tried_)) {
-        return relay::FailurePlan::kGiveUp;
+        return relay::RetryPolicy::kNever;
     }
-    return plan_.route->is_repeatable() ? relay::FailurePlan::kRepeat : relay::FailurePlan::kRepeatIfNotRun;
+    return plan_.route->is_repeatable() ? relay::RetryPolicy::kAlways : relay::RetryPolicy::kIfNotRun;
 }
 
 relay::RelayRequest EntryCall::relayRequest(const RelayTarget& target) const {
@@ -83,18 +83,18 @@
     relay::RelayRequest request;
     request.request = plan_.request;
     request.instance = target.instance;
-    request.is_repeat = offered_ > 0;
-    request.is_repeat_paid = is_repeat_paid_;
-    request.failure_plan = failurePlan();
+    request.is_retry = offered_ > 0;
+    request.is_retry_paid = is_repeat_paid_;
+    request.retry_policy = failurePlan();
     request.is_counted = is_counted_;
     request.is_suspect = is_suspect_;
-    request.is_only_choice = target.is_stopping;
-    request.is_last_choice =
+    request.is_only_candidate = target.is_stopping;
+    request.is_last_candidate =
         refusals_ + 1 >= services_.knobs.most_refusals || tried_.size() >= services_.selector.relayCount(plan_.service);
     request.route = plan_.route->name();
     request.priority = plan_.priority;
     request.deadline = plan_.deadline - services_.knobs.relay_margin;
-    request.longest_wait = share;
+    request.max_wait = share;
     request.lineage = plan_.lineage;
     return request;
 }
@@ -147,8 +147,8 @@
     relay::RelayResult result;
     result.outcome = received.result.outcome == relay::RelayOutcome::kNotRun ? relay::RelayOutcome::kNotRun
                                                                              : relay::RelayOutcome::kUnknown;
-    result.reason = relay::RelayReason::kDisplaced;
-    result.was_offered = result.outcome == relay::RelayOutcome::kUnknown;
+    result.reason = relay::RelayReason::kSuperseded;
+    result.was_sent = result.outcome == relay::RelayOutcome::kUnknown;
     onResult(std::move(result));
 }
 
@@ -169,7 +169,7 @@
     relay::RelayResult lost;
     lost.outcome = was_sent ? relay::RelayOutcome::kUnknown : relay::RelayOutcome::kNotRun;
     lost.reason = was_sent ? relay::RelayReason::kRelayLost : relay::RelayReason::kNotConnected;
-    lost.was_offered = was_sent;
+    lost.was_sent = was_sent;
     onResult(std::move(lost));
 }
 
@@ -181,13 +181,13 @@
         services_.selector.onLoad(relay, result.load);
         services_.observe(plan_, relay, result);
     }
-    offered_ += result.was_offered ? 1 : 0;
-    is_repeat_paid_ = result.is_repeat_paid || (is_repeat_paid_ && !result.was_offered);
-    is_counted_ = is_counted_ || relay::isCounted(result.reason);
-    is_suspect_ = is_suspect_ || result.reason == relay::RelayReason::kInstanceEnded;
+    offered_ += result.was_sent ? 1 : 0;
+    is_repeat_paid_ = result.is_retry_paid || (is_repeat_paid_ && !result.was_sent);
+    is_counted_ = is_counted_ || relay::countsTowardRetryBudget(result.reason);
+    is_suspect_ = is_suspect_ || result.reason == relay::RelayReason::kInstanceCrashed;
     is_quarantined_ = result.reason == relay::RelayReason::kQuarantined;
     const bool has_failed = isOwnFailure(result);
-    if (result.was_offered && result.outcome != relay::RelayOutcome::kNotRun) {
+    if (result.was_sent && result.outcome != relay::RelayOutcome::kNotRun) {
         services_.selector.onOutcome(relay, has_failed);
     }
     switch (result.outcome) {
@@ -217,7 +217,7 @@
 /// is worth it, and a repeat here would be a repeat of all calls below. Nor while what runs below is
 /// overloaded: there a repeated tree would take the room of a new one.
 bool EntryCall::mayRepeatFailure(const relay::RelayResult& result) const {
-    if (result.failed_below) {
+    if (result.failed_downstream) {
         return false;
     }
     const bool has_time = remaining() > services_.clock.now() - began_;
@@ -231,9 +231,9 @@
     const bool is_first = refusals_ == 0 && offered_ == 0;
     has_met_stopping_only_ = (is_first || has_met_stopping_only_) && result.reason == relay::RelayReason::kStopping;
     const bool is_final =
-        is_quarantined_ || result.reason == relay::RelayReason::kRepeatBudget ||
+        is_quarantined_ || result.reason == relay::RelayReason::kRetryBudget ||
         result.reason == relay::RelayReason::kDeadline ||
-        (result.reason != relay::RelayReason::kDisplaced && ++refusals_ >= services_.knobs.most_refusals) ||
+        (result.reason != relay::RelayReason::kSuperseded && ++refusals_ >= services_.knobs.most_refusals) ||
         offered_ >= plan_.route->max_attempts();
     if (is_final) {
         giveUp(relay::reasonText(result.reason), false);
--- a/src/entry/entry_call.h
+++ b/src/entry/entry_call.h
@@ -125,7 +125,7 @@
     void sendToNext();
     void awaitInstance();
     void sendTo(const RelayTarget& target);
-    [[nodiscard]] relay::FailurePlan failurePlan() const;
+    [[nodiscard]] relay::RetryPolicy failurePlan() const;
     [[nodiscard]] relay::RelayRequest relayRequest(const RelayTarget& target) const;
     void onRelayAnswer(AttemptResult result);
     void onDisplaced(const relay::ReceivedResult& received);
@@ -156,7 +156,7 @@
     std::string relay_;                    ///< The node that has the attempt now; empty: none.
     AttemptHandle attempt_;                ///< At another node.
     TimePoint sent_{};                     ///< When that was sent.
-    relay::RelayService::Number own_ = 0;  ///< At this node's own relay.
+    relay::RelayService::CallId own_ = 0;  ///< At this node's own relay.
     std::set<std::string> tried_;
     std::size_t refusals_ = 0;
     std::uint32_t offered_ = 0;           ///< Instances that were sent the request.
--- a/src/instance/local_instance.cc
+++ b/src/instance/local_instance.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-std::string lifeName(const wire::InstanceRecord& record) {
+std::string incarnationName(const wire::InstanceRecord& record) {
     return record.born_ms() == 0 ? record.id() : record.id() + "@" + std::to_string(record.born_ms());
 }
 
--- a/src/instance/local_instance.h
+++ b/src/instance/local_instance.h
@@ -28,7 +28,7 @@
 };
 
 /// The name of one life of an instance, for logs and for what is kept by life: several may have the same id.
-std::string lifeName(const wire::InstanceRecord& record);
+std::string incarnationName(const wire::InstanceRecord& record);
 
 /// Aggregate: what is known of the one instance beside the node. What an acknowledged heartbeat has said is never taken
 /// back by a later arrival of an earlier one; a life of an instance that has left never returns. Of two lives the one
@@ -53,7 +53,7 @@
 
     [[nodiscard]] const wire::InstanceRecord& record() const { return record_; }
     /// Lives that it knows something of, the present one included.
-    [[nodiscard]] std::size_t rememberedLives() const { return known_lives_.size(); }
+    [[nodiscard]] std::size_t knownIncarnations() const { return known_lives_.size(); }
     [[nodiscard]] bool isReady() const { return record_.state() == wire::INSTANCE_READY; }
     [[nodiscard]] bool takesCallsFor(const std::string& id) const { return isReady() && record_.id() == id; }
 
--- a/src/relay/crash_watch.cc
+++ b/src/relay/crash_detector.cc
@@ -1,4 +1,4 @@
-#include "src/relay/crash_watch.h"
+#include "src/relay/crash_detector.h"
 
 #include <utility>
 
@@ -12,10 +12,10 @@
 
 }  // namespace
 
-CrashWatch::CrashWatch(Clock& clock, BackEndPort& instances, std::string address, CrashWatchKnobs knobs)
+CrashDetector::CrashDetector(Clock& clock, BackEndPort& instances, std::string address, CrashDetectorKnobs knobs)
     : clock_(clock), instances_(instances), address_(std::move(address)), knobs_(knobs) {}
 
-void CrashWatch::onBroken(std::size_t running) {
+void CrashDetector::onBroken(std::size_t running) {
     if (!isJudging()) {
         running_at_first_ = running;
         timer_ = clock_.startTimer(knobs_.settle, [this] { onSettled(); });
@@ -23,7 +23,7 @@
     ++broken_;
 }
 
-void CrashWatch::onSettled() {
+void CrashDetector::onSettled() {
     if (2 * broken_ >= running_at_first_) {
         probe(kProbes);
     } else {
@@ -31,7 +31,7 @@
     }
 }
 
-void CrashWatch::probe(int probes_left) {
+void CrashDetector::probe(int probes_left) {
     HttpRequest request;
     request.method = "GET";
     request.path = probe_path_;
@@ -46,14 +46,14 @@
                              });
 }
 
-void CrashWatch::onRefused() {
+void CrashDetector::onRefused() {
     if (isJudging() && 2 * broken_ >= running_at_first_) {
         judge(true);
     }
 }
 
 /// Runs from within the probe's callback or the timer's: both may be destroyed there.
-void CrashWatch::judge(bool has_ended) {
+void CrashDetector::judge(bool has_ended) {
     broken_ = 0;
     timer_.reset();
     probe_.reset();
--- a/src/relay/crash_watch.h
+++ b/src/relay/crash_detector.h
@@ -17,7 +17,7 @@
 namespace dewcrank::relay {
 
 /// Constants of the watch.
-struct CrashWatchKnobs {
+struct CrashDetectorKnobs {
     /// The connections of an instance that has ended are read within this: 10 ms for 107 of them, measured on
     /// a machine with 0.4 cores.
     Duration settle = 15ms;
@@ -27,9 +27,9 @@
 
 /// Watches one instance. Costs nothing while no connection breaks, and one probe for each burst in which half
 /// of the runs have lost theirs.
-class CrashWatch {
+class CrashDetector {
 public:
-    CrashWatch(Clock& clock, BackEndPort& instances, std::string address, CrashWatchKnobs knobs);
+    CrashDetector(Clock& clock, BackEndPort& instances, std::string address, CrashDetectorKnobs knobs);
 
     /// @param path where the instance answers probes.
     void setProbePath(std::string path) { probe_path_ = std::move(path); }
@@ -50,7 +50,7 @@
     Clock& clock_;
     BackEndPort& instances_;
     std::string address_;
-    CrashWatchKnobs knobs_;
+    CrashDetectorKnobs knobs_;
     std::string probe_path_ = "/health";
     std::size_t broken_ = 0;            ///< In the present burst; 0 between two of them.
     std::size_t running_at_first_ = 0;  ///< When the burst began.
--- a/src/relay/caller_census.cc
+++ b/src/relay/internal_route_detector.cc
@@ -1,4 +1,4 @@
-#include "src/relay/caller_census.h"
+#include "src/relay/internal_route_detector.h"
 
 #include <cmath>
 
@@ -16,12 +16,12 @@
 
 }  // namespace
 
-void CallerCensus::onRequest(const std::string& route, const std::string& caller_service) {
+void InternalRouteDetector::onRequest(const std::string& route, const std::string& caller_service) {
     fade();
     counts_[route][caller_service] += 1;
 }
 
-void CallerCensus::fade() {
+void InternalRouteDetector::fade() {
     if (clock_.now() - faded_ < kHalfLife) {
         return;
     }
@@ -35,7 +35,7 @@
     std::erase_if(counts_, [](const auto& entry) { return entry.second.empty(); });
 }
 
-bool CallerCensus::isInner(const std::string& route) const {
+bool InternalRouteDetector::isInner(const std::string& route) const {
     const auto found = counts_.find(route);
     if (found == counts_.end()) {
         return false;
@@ -49,7 +49,7 @@
     return share < 1 && std::pow(share, total) < kImprobable;
 }
 
-std::optional<bool> CallerCensus::verdict(const std::string& route) const {
+std::optional<bool> InternalRouteDetector::verdict(const std::string& route) const {
     if (isInner(route)) {
         return true;
     }
--- a/src/relay/caller_census.h
+++ b/src/relay/internal_route_detector.h
@@ -14,12 +14,12 @@
 
 /// Counts, by route, beside which services requests began. Callers spread over all machines, so
 /// a route whose requests all begin beside a few services is called by their instances.
-class CallerCensus {
+class InternalRouteDetector {
 public:
     /// Part of the fleet's machines that run a service, from 0 to 1.
     using ShareOf = std::function<double(const std::string& service)>;
 
-    CallerCensus(Clock& clock, ShareOf share_of) : clock_(clock), share_of_(std::move(share_of)) {}
+    InternalRouteDetector(Clock& clock, ShareOf share_of) : clock_(clock), share_of_(std::move(share_of)) {}
     void onRequest(const std::string& route, const std::string& caller_service);
     /// True if callers spread over all machines would hardly ever give what was counted.
     [[nodiscard]] bool isInner(const std::string& route) const;
--- a/src/relay/relay_message.cc
+++ b/src/relay/relay_message.cc
@@ -12,7 +12,7 @@
             return "draining";
         case RelayReason::kStopping:
             return "stopping";
-        case RelayReason::kRepeatBudget:
+        case RelayReason::kRetryBudget:
             return "repeat-budget";
         case RelayReason::kQueueTooLong:
             return "queue-too-long";
@@ -28,22 +28,22 @@
             return "no-whole-answer";
         case RelayReason::kRelayLost:
             return "relay-lost";
-        case RelayReason::kInstanceEnded:
+        case RelayReason::kInstanceCrashed:
             return "instance-ended";
         case RelayReason::kSuspect:
             return "suspect";
         case RelayReason::kQuarantined:
             return "quarantined";
-        case RelayReason::kDisplaced:
+        case RelayReason::kSuperseded:
             return "displaced";
     }
     return "none";
 }
 
-bool isCounted(RelayReason reason) {
+bool countsTowardRetryBudget(RelayReason reason) {
     return reason != RelayReason::kStopping && reason != RelayReason::kDraining &&
            reason != RelayReason::kOtherInstance && reason != RelayReason::kNotConnected &&
-           reason != RelayReason::kQuarantined && reason != RelayReason::kDisplaced;
+           reason != RelayReason::kQuarantined && reason != RelayReason::kSuperseded;
 }
 
 }  // namespace dewcrank::relay
--- a/src/relay/relay_repeats.h
+++ b/src/relay/relay_retries.h
@@ -14,10 +14,10 @@
 
 namespace dewcrank::relay {
 
-class RelayRepeats {
+class RelayRetries {
 public:
     /// @param graph of the calls that the instance's runs make.
-    RelayRepeats(Clock& clock, const decision::CallGraph& graph, decision::RepeatBound bound);
+    RelayRetries(Clock& clock, const decision::CallGraph& graph, decision::RepeatBound bound);
 
     /// @param count of relays that take requests of the service. The slack is shared by as many as there were at most
     /// in the last window: those that have gone may have spent their parts of it, and those that are stopping still do.
@@ -35,7 +35,7 @@
     [[nodiscard]] const decision::RepeatTotals& totals() const { return budget_.totals(); }
     [[nodiscard]] decision::RepeatWindow window() { return budget_.window(clock_.now(), sharers()); }
     /// Requests that came here after another relay had counted them.
-    [[nodiscard]] std::uint64_t countedBefore() const { return counted_before_; }
+    [[nodiscard]] std::uint64_t countedElsewhere() const { return counted_before_; }
     /// Relays that share the slack.
     [[nodiscard]] std::size_t sharers() { return relay_count_.at(clock_.now()); }
 
--- a/src/relay/relay_service.cc
+++ b/src/relay/relay_service.cc
@@ -4,13 +4,13 @@
 #include <utility>
 
 #include "src/base/http_status.h"
-#include "src/relay/answer_kind.h"
+#include "src/relay/response_kind.h"
 
 namespace dewcrank::relay {
 
 RelayService::RelayService(Clock& clock, EventLog& log, BackEndPort& instances, instance::LocalInstance& instance,
                            quarantine::Quarantine& quarantine, const HeaderNames& names, std::string instance_address,
-                           CallerCensus::ShareOf share_of, RelayKnobs knobs)
+                           InternalRouteDetector::ShareOf share_of, RelayKnobs knobs)
     : clock_(clock),
       log_(log),
       instances_(instances),
@@ -58,7 +58,7 @@
 
 RelayReason RelayService::refusalOf(const Running& running) {
     const auto& request = running.request;
-    if (is_closed_ || (stops_at_ && !request.is_only_choice)) {
+    if (is_closed_ || (stops_at_ && !request.is_only_candidate)) {
         return RelayReason::kStopping;
     }
     if (!takes(request.instance)) {
@@ -69,10 +69,10 @@
         return RelayReason::kQuarantined;
     }
     const bool may_repeat = knobs_.weakening.repeats_without_budget || repeats_.mayRepeat(request);
-    return may_repeat ? RelayReason::kNone : RelayReason::kRepeatBudget;
+    return may_repeat ? RelayReason::kNone : RelayReason::kRetryBudget;
 }
 
-RelayService::Number RelayService::start(RelayRequest request, Callback callback) {
+RelayService::CallId RelayService::start(RelayRequest request, Callback callback) {
     const auto number = ++last_number_;
     auto& running = *(running_[number] = std::make_unique<Running>());
     running.request = std::move(request);
@@ -96,7 +96,7 @@
 
 /// Suspects run one at a time, beside all others: if the instance ends as well, it is known which of them was at
 /// both ends, and a crash costs one more instance, not all that are left.
-void RelayService::enterTrials(Number number) {
+void RelayService::enterTrials(CallId number) {
     const auto now = clock_.now();
     const auto remaining = running_[number]->request.deadline - now;
     const auto wait = std::chrono::duration_cast<Duration>(remaining * knobs_.trial_wait_share);
@@ -105,7 +105,7 @@
 
 /// While it has waited it may have been cleared, by the same request's good end, or quarantined, and the instance
 /// may have gone.
-void RelayService::onTrialDecision(Number number, bool may_run) {
+void RelayService::onTrialDecision(CallId number, bool may_run) {
     auto& running = *running_[number];
     if (!may_run) {
         logPutOff(running);
@@ -145,15 +145,15 @@
     const bool is_continuing = is_inner && is_shortened;
     if (is_inner) {
         const auto wait = std::chrono::duration_cast<Duration>(remaining * knobs_.inner_wait_share);
-        request->longest_wait = std::max(request->longest_wait, wait);
+        request->max_wait = std::max(request->max_wait, wait);
     }
     QueueRequest place;
-    place.give_up_at = std::min(request->deadline, now + request->longest_wait);
+    place.give_up_at = std::min(request->deadline, now + request->max_wait);
     place.order = is_continuing ? now : place.give_up_at + knobs_.priority_step * request->priority;
     return place;
 }
 
-void RelayService::enterQueue(Number number) {
+void RelayService::enterQueue(CallId number) {
     auto& running = *running_[number];
     auto& request = running.request;
     const auto now = clock_.now();
@@ -162,7 +162,7 @@
         queue_.enter(entering, [this, number](InstanceQueue::Decision decision) { onDecision(number, decision); });
     // What another relay may still take is not this instance's demand.
     const bool is_taken = running.ticket != 0 || running.is_let_in;
-    if (is_taken || request.is_last_choice) {
+    if (is_taken || request.is_last_candidate) {
         demand_.onArrival(now, request.route, request.lineage.represents);
     }
 }
@@ -175,7 +175,7 @@
     return demand_.load(clock_.now(), load.limit, load.mean_time * load.waiting);
 }
 
-void RelayService::refuseLater(Number number, RelayReason reason) {
+void RelayService::refuseLater(CallId number, RelayReason reason) {
     running_[number]->refusal = clock_.startTimer(Duration::zero(), [this, number, reason] {
         RelayResult result;
         result.reason = reason;
@@ -183,7 +183,7 @@
     });
 }
 
-void RelayService::onDecision(Number number, InstanceQueue::Decision decision) {
+void RelayService::onDecision(CallId number, InstanceQueue::Decision decision) {
     auto& running = *running_[number];
     running.ticket = 0;
     if (decision != InstanceQueue::Decision::kGo) {
@@ -202,13 +202,13 @@
     }
 }
 
-void RelayService::send(Number number) {
+void RelayService::send(CallId number) {
     auto& running = *running_[number];
     auto request = std::move(running.request.request);
     running.sent = clock_.now();
-    running.life = instance::lifeName(instance_.record());
+    running.life = instance::incarnationName(instance_.record());
     auto lineage = running.request.lineage;
-    lineage.repeat_share = running.request.is_repeat ? 1 : lineage.repeat_share;
+    lineage.repeat_share = running.request.is_retry ? 1 : lineage.repeat_share;
     auto deadline = running.request.deadline;
     running.run = call_graph_.onRunBegan(running.sent, running.request.route, lineage, &deadline);
     const auto remaining = deadline - running.sent;
@@ -221,9 +221,9 @@
 }
 
 /// Where a connection has broken, the instance may have ended: that is found out before the entry is told.
-void RelayService::onAttemptEnded(Number number, AttemptResult result) {
+void RelayService::onAttemptEnded(CallId number, AttemptResult result) {
     const auto& life = running_[number]->life;
-    if (isConnectionLost(result) && life != ended_life_ && life == instance::lifeName(instance_.record())) {
+    if (isConnectionLost(result) && life != ended_life_ && life == instance::incarnationName(instance_.record())) {
         judged_life_ = life;
         broken_.push_back({number, std::move(result)});
         crash_watch_.onBroken(runs_.runningAt(life));
@@ -238,7 +238,7 @@
 /// The next life may be there already: the end is that of the one whose connections broke.
 void RelayService::onCrashJudged(bool has_ended) {
     auto broken = std::exchange(broken_, {});
-    if (has_ended && judged_life_ == instance::lifeName(instance_.record())) {
+    if (has_ended && judged_life_ == instance::incarnationName(instance_.record())) {
         onInstanceEnded(judged_life_);
     }
     for (auto& it : broken) {
@@ -253,7 +253,7 @@
 /// (its machine may have lost its power). Where it is known to have started later, no answer of the former can come.
 void RelayService::onInstanceChanged() {
     const auto& record = instance_.record();
-    const auto life = instance::lifeName(record);
+    const auto life = instance::incarnationName(record);
     if (life != seen_life_) {
         const auto former = std::exchange(seen_life_, life);
         const auto former_born = std::exchange(seen_born_, record.born_ms());
@@ -278,14 +278,14 @@
     ended_life_ = life;
     trials_.gate().onInstanceEnded();
     signal_crashed_.emit(runs_.blame(life));
-    if (instance::lifeName(instance_.record()) == life) {
+    if (instance::incarnationName(instance_.record()) == life) {
         instance_.onUnreachable();
     }
 }
 
 /// What became of them nobody will tell: they may have run.
 void RelayService::endRunsOf(const std::string& life) {
-    std::vector<Number> ended;
+    std::vector<CallId> ended;
     for (const auto& [number, running] : running_) {
         if (running->attempt != nullptr && running->life == life) {
             ended.push_back(number);
@@ -308,15 +308,15 @@
         return judgeAnswer(running, std::move(result.answer));
     }
     RelayResult judged;
-    judged.was_offered = result.outcome == AttemptOutcome::kUnknown;
-    judged.outcome = judged.was_offered ? RelayOutcome::kUnknown : RelayOutcome::kNotRun;
-    judged.reason = judged.was_offered ? RelayReason::kNoWholeAnswer : RelayReason::kNotConnected;
-    if (judged.was_offered && running.life == ended_life_) {
+    judged.was_sent = result.outcome == AttemptOutcome::kUnknown;
+    judged.outcome = judged.was_sent ? RelayOutcome::kUnknown : RelayOutcome::kNotRun;
+    judged.reason = judged.was_sent ? RelayReason::kNoWholeAnswer : RelayReason::kNotConnected;
+    if (judged.was_sent && running.life == ended_life_) {
         // Its entry knows of the verdict before the other relays do: sent on, it would end one more.
         const bool is_convicted = quarantine_.standing(running.fingerprint) == quarantine::Standing::kQuarantined;
-        judged.reason = is_convicted ? RelayReason::kQuarantined : RelayReason::kInstanceEnded;
+        judged.reason = is_convicted ? RelayReason::kQuarantined : RelayReason::kInstanceCrashed;
     }
-    if (!judged.was_offered) {
+    if (!judged.was_sent) {
         instance_.onUnreachable();
     }
     log_.write(Event("instance_failed")
@@ -324,7 +324,7 @@
                    .with("peer", instance_address_)
                    .with("instance", running.life)
                    .with("reason", result.reason)
-                   .with("sent", judged.was_offered ? "yes" : "no")
+                   .with("sent", judged.was_sent ? "yes" : "no")
                    .with("route", running.request.route)
                    .with("fingerprint", quarantine::textOf(running.fingerprint)));
     return judged;
@@ -332,15 +332,15 @@
 
 RelayResult RelayService::judgeAnswer(const Running& running, HttpAnswer answer) {
     RelayResult judged;
-    judged.was_offered = true;
+    judged.was_sent = true;
     switch (kindOf(answer, running.id, names_, knobs_.weakening.takes_unsigned_answers)) {
-        case AnswerKind::kMisdirected:
+        case ResponseKind::kMisdirected:
             instance_.onMisdirected(running.request.instance);
             [[fallthrough]];
-        case AnswerKind::kNotRun:
+        case ResponseKind::kNotRun:
             judged.reason = RelayReason::kInstanceRefused;
             return judged;
-        case AnswerKind::kSpoiled:
+        case ResponseKind::kSpoiled:
             log_.write(Event("answer_spoiled")
                            .with("request", running.id)
                            .with("peer", instance_address_)
@@ -348,12 +348,12 @@
             judged.outcome = RelayOutcome::kUnknown;
             judged.reason = RelayReason::kNoWholeAnswer;
             return judged;
-        case AnswerKind::kWhole:
+        case ResponseKind::kWhole:
             break;
     }
     removeHopByHopHeaders(answer.headers);
     judged.outcome = RelayOutcome::kAnswered;
-    judged.failed_below =
+    judged.failed_downstream =
         answer.status == kHttpInternalServerError && call_graph_.explainFailure(clock_.now(), running.sent);
     judged.answer = std::move(answer);
     return judged;
@@ -365,7 +365,7 @@
     }
 }
 
-void RelayService::finish(Number number, RelayResult result) {
+void RelayService::finish(CallId number, RelayResult result) {
     auto ended = running_.extract(number);
     auto& running = *ended.mapped();
     runs_.onEnded(number);
@@ -377,7 +377,7 @@
         demand_.onAnswered(running.request.route, time);
     }
     leaveQueues(number, running, time);
-    result.is_repeat_paid = repeats_.paysRepeat(running.request, result);
+    result.is_retry_paid = repeats_.paysRepeat(running.request, result);
     result.load = queue_.load();
     result.has_load = true;
     result.report.load = serviceLoad();
@@ -386,7 +386,7 @@
     running.callback(std::move(result));
 }
 
-void RelayService::cancel(Number number) {
+void RelayService::cancel(CallId number) {
     const auto cancelled = running_.extract(number);
     if (cancelled.empty()) {
         return;
@@ -399,7 +399,7 @@
 }
 
 /// @param time that the instance took; zero if it tells nothing.
-void RelayService::leaveQueues(Number number, const Running& running, Duration time) {
+void RelayService::leaveQueues(CallId number, const Running& running, Duration time) {
     if (running.ticket != 0) {
         queue_.cancel(running.ticket);
     }
--- a/src/relay/relay_service.h
+++ b/src/relay/relay_service.h
@@ -25,11 +25,11 @@
 #include "src/ports/event_log.h"
 #include "src/quarantine/quarantine.h"
 #include "src/quarantine/run_ledger.h"
-#include "src/relay/caller_census.h"
-#include "src/relay/crash_watch.h"
+#include "src/relay/crash_detector.h"
 #include "src/relay/instance_queue.h"
+#include "src/relay/internal_route_detector.h"
 #include "src/relay/relay_message.h"
-#include "src/relay/relay_repeats.h"
+#include "src/relay/relay_retries.h"
 #include "src/relay/suspect_trials.h"
 
 namespace dewcrank::relay {
@@ -50,7 +50,7 @@
     double trial_wait_share = 0.4;
     QueueKnobs trials;
     quarantine::TrialGateKnobs trial_gate;
-    CrashWatchKnobs crash_watch;
+    CrashDetectorKnobs crash_watch;
     decision::DemandKnobs demand;
     decision::CallGraphKnobs call_graph;
     /// One slot in so many is left free, and at least one of an instance with so many slots.
@@ -62,20 +62,20 @@
 /// Relays requests of this node's callers and of other nodes to the one instance.
 class RelayService {
 public:
-    using Number = std::uint64_t;
+    using CallId = std::uint64_t;
     using Callback = std::function<void(RelayResult)>;
 
     RelayService(Clock& clock, EventLog& log, BackEndPort& instances, instance::LocalInstance& instance,
                  quarantine::Quarantine& quarantine, const HeaderNames& names, std::string instance_address,
-                 CallerCensus::ShareOf share_of, RelayKnobs knobs);
+                 InternalRouteDetector::ShareOf share_of, RelayKnobs knobs);
     ~RelayService();
     RelayService(const RelayService&) = delete;
     RelayService& operator=(const RelayService&) = delete;
 
     /// The callback runs once, later on the loop.
-    Number start(RelayRequest request, Callback callback);
+    CallId start(RelayRequest request, Callback callback);
     /// Gives a request up; its callback is not called any more.
-    void cancel(Number number);
+    void cancel(CallId number);
     /// @param path where the instance answers probes.
     void setProbePath(std::string path) { crash_watch_.setProbePath(std::move(path)); }
     /// Emitted with what ran when the instance has ended by itself.
@@ -87,16 +87,16 @@
     /// @param view of the service's instances, by which suspects are let run.
     void setReplicaView(const std::function<fleet::Replicas()>& view);
     /// An instance of the service beside another node has ended by itself.
-    void onInstanceEndedElsewhere() { trials_.gate().onInstanceEnded(); }
+    void onRemoteCrash() { trials_.gate().onInstanceEnded(); }
     /// @param count of relays that take requests of the service now.
     void setRelayCount(std::size_t count) { repeats_.setRelayCount(count); }
     [[nodiscard]] std::size_t inFlight() const { return running_.size(); }
     [[nodiscard]] QueueLoad load() const { return queue_.load(); }
-    [[nodiscard]] const decision::RepeatTotals& repeatTotals() const { return repeats_.totals(); }
-    [[nodiscard]] decision::RepeatWindow repeatWindow() { return repeats_.window(); }
+    [[nodiscard]] const decision::RepeatTotals& retryTotals() const { return repeats_.totals(); }
+    [[nodiscard]] decision::RepeatWindow retryWindow() { return repeats_.window(); }
     /// Requests that came here after another relay had counted them.
-    [[nodiscard]] std::uint64_t countedBefore() const { return repeats_.countedBefore(); }
-    [[nodiscard]] std::size_t repeatSharers() { return repeats_.sharers(); }
+    [[nodiscard]] std::uint64_t countedElsewhere() const { return repeats_.countedElsewhere(); }
+    [[nodiscard]] std::size_t retryRelayCount() { return repeats_.sharers(); }
     /// What the instance is asked for and can give.
     [[nodiscard]] decision::ServiceLoad serviceLoad();
     /// The calls that the instance makes, by the routes that it serves.
@@ -121,17 +121,17 @@
     [[nodiscard]] bool takes(const std::string& instance) const;
     [[nodiscard]] RelayReason refusalOf(const Running& running);
     QueueRequest placeInQueue(RelayRequest* request);
-    void enterTrials(Number number);
-    void onTrialDecision(Number number, bool may_run);
+    void enterTrials(CallId number);
+    void onTrialDecision(CallId number, bool may_run);
     void logPutOff(const Running& running);
-    void enterQueue(Number number);
-    void refuseLater(Number number, RelayReason reason);
-    void onDecision(Number number, InstanceQueue::Decision decision);
-    void send(Number number);
-    void onAttemptEnded(Number number, AttemptResult result);
+    void enterQueue(CallId number);
+    void refuseLater(CallId number, RelayReason reason);
+    void onDecision(CallId number, InstanceQueue::Decision decision);
+    void send(CallId number);
+    void onAttemptEnded(CallId number, AttemptResult result);
     /// An attempt whose connection broke; whether the instance has ended is being found out.
     struct Broken {
-        Number number = 0;
+        CallId number = 0;
         AttemptResult result;
     };
     void onInstanceChanged();
@@ -141,8 +141,8 @@
     RelayResult judge(const Running& running, AttemptResult result);
     RelayResult judgeAnswer(const Running& running, HttpAnswer answer);
     void onRunEnded(const Running& running, bool is_whole);
-    void finish(Number number, RelayResult result);
-    void leaveQueues(Number number, const Running& running, Duration time);
+    void finish(CallId number, RelayResult result);
+    void leaveQueues(CallId number, const Running& running, Duration time);
 
     Clock& clock_;
     EventLog& log_;
@@ -154,7 +154,7 @@
     RelayKnobs knobs_;
     InstanceQueue queue_;
     SuspectTrials trials_;
-    CrashWatch crash_watch_;
+    CrashDetector crash_watch_;
     quarantine::RunLedger runs_;
     std::vector<Broken> broken_;  ///< Until the watch has judged.
     // Lives of the instance, by name:
@@ -164,15 +164,15 @@
     std::string ended_life_;       ///< The last one that was found to have ended by itself.
     bool is_leaving_ = false;      ///< The one seen has said so.
     sigc::signal<void(const quarantine::CrashNotice&)> signal_crashed_;
-    CallerCensus census_;
+    InternalRouteDetector census_;
     decision::InstanceDemand demand_;
     decision::CallGraph call_graph_;
-    RelayRepeats repeats_;
+    RelayRetries repeats_;
     decision::UsualDeadlines deadlines_;
     std::optional<TimePoint> stops_at_;
     bool is_closed_ = false;
-    Number last_number_ = 0;
-    std::map<Number, std::unique_ptr<Running>> running_;
+    CallId last_number_ = 0;
+    std::map<CallId, std::unique_ptr<Running>> running_;
 };
 
 }  // namespace dewcrank::relay
--- a/src/relay/relay_wire.cc
+++ b/src/relay/relay_wire.cc
@@ -85,9 +85,9 @@
     return is_known ? static_cast<RelayOutcome>(number) : RelayOutcome::kUnknown;
 }
 
-FailurePlan failurePlanOf(std::int64_t number) {
-    const bool is_known = number >= 0 && number <= static_cast<std::int64_t>(FailurePlan::kRepeat);
-    return is_known ? static_cast<FailurePlan>(number) : FailurePlan::kGiveUp;
+RetryPolicy failurePlanOf(std::int64_t number) {
+    const bool is_known = number >= 0 && number <= static_cast<std::int64_t>(RetryPolicy::kAlways);
+    return is_known ? static_cast<RetryPolicy>(number) : RetryPolicy::kNever;
 }
 
 }  // namespace
@@ -96,12 +96,12 @@
     FieldWriter fields;
     write(&fields, sender);
     fields.add(request.instance).add(request.route).add(request.priority);
-    fields.add(request.is_repeat ? 1 : 0).add(request.is_last_choice ? 1 : 0);
-    fields.add((request.deadline - now).count()).add(request.longest_wait.count());
+    fields.add(request.is_retry ? 1 : 0).add(request.is_last_candidate ? 1 : 0);
+    fields.add((request.deadline - now).count()).add(request.max_wait.count());
     fields.add(inThousandths(request.lineage.repeat_share)).add(inThousandths(request.lineage.represents));
     fields.add(request.is_counted ? 1 : 0).add(request.is_suspect ? 1 : 0);
-    fields.add(static_cast<std::int64_t>(request.failure_plan)).add(request.is_repeat_paid ? 1 : 0);
-    fields.add(request.is_only_choice ? 1 : 0);
+    fields.add(static_cast<std::int64_t>(request.retry_policy)).add(request.is_retry_paid ? 1 : 0);
+    fields.add(request.is_only_candidate ? 1 : 0);
     auto message = std::move(request.request);
     message.headers.set(kCall, fields.take());
     return message;
@@ -118,17 +118,17 @@
     relayed.instance = fields.text();
     relayed.route = fields.text();
     relayed.priority = static_cast<std::uint32_t>(fields.number());
-    relayed.is_repeat = fields.number() != 0;
-    relayed.is_last_choice = fields.number() != 0;
+    relayed.is_retry = fields.number() != 0;
+    relayed.is_last_candidate = fields.number() != 0;
     relayed.deadline = now + Duration(fields.number());
-    relayed.longest_wait = Duration(fields.number());
+    relayed.max_wait = Duration(fields.number());
     relayed.lineage.repeat_share = std::clamp(fromThousandths(fields.number()), 0.0, 1.0);
     relayed.lineage.represents = std::max(1.0, fromThousandths(fields.number()));
     relayed.is_counted = fields.number() != 0;
     relayed.is_suspect = fields.number() != 0;
-    relayed.failure_plan = failurePlanOf(fields.number());
-    relayed.is_repeat_paid = fields.number() != 0;
-    relayed.is_only_choice = fields.number() != 0;
+    relayed.retry_policy = failurePlanOf(fields.number());
+    relayed.is_retry_paid = fields.number() != 0;
+    relayed.is_only_candidate = fields.number() != 0;
     request.headers.removePrefix(kRelayHeaderPrefix);
     relayed.request = std::move(request);
     return received;
@@ -138,12 +138,12 @@
     FieldWriter fields;
     write(&fields, sender);
     fields.add(static_cast<std::int64_t>(result.outcome)).add(static_cast<std::int64_t>(result.reason));
-    fields.add(result.was_offered ? 1 : 0);
+    fields.add(result.was_sent ? 1 : 0);
     write(&fields, result.load);
     write(&fields, result.report);
-    fields.add(result.failed_below ? 1 : 0);
+    fields.add(result.failed_downstream ? 1 : 0);
     fields.add(sender.table_age ? sender.table_age->count() + 1 : 0);
-    fields.add(result.is_repeat_paid ? 1 : 0);
+    fields.add(result.is_retry_paid ? 1 : 0);
     auto answer = std::move(result.answer);
     if (result.outcome != RelayOutcome::kAnswered) {
         answer.status = kHttpOk;
@@ -159,22 +159,22 @@
     if (!answer.headers.has(kResult)) {
         result.outcome = RelayOutcome::kUnknown;
         result.reason = RelayReason::kRelayLost;
-        result.was_offered = true;
+        result.was_sent = true;
         return received;
     }
     FieldReader fields(answer.headers.get(kResult));
     received.sender = readPeer(&fields);
     result.outcome = outcomeOf(fields.number());
     result.reason = static_cast<RelayReason>(fields.number());
-    result.was_offered = fields.number() != 0;
+    result.was_sent = fields.number() != 0;
     result.load = readLoad(&fields);
     result.has_load = true;
     result.report = readReport(&fields);
-    result.failed_below = fields.number() != 0;
+    result.failed_downstream = fields.number() != 0;
     if (const auto age = fields.number(); age > 0) {
         received.sender.table_age = Duration(age - 1);
     }
-    result.is_repeat_paid = fields.number() != 0;
+    result.is_retry_paid = fields.number() != 0;
     answer.headers.removePrefix(kRelayHeaderPrefix);
     result.answer = std::move(answer);
     return received;
--- a/src/relay/answer_kind.cc
+++ b/src/relay/response_kind.cc
@@ -1,4 +1,4 @@
-#include "src/relay/answer_kind.h"
+#include "src/relay/response_kind.h"
 
 #include <algorithm>
 #include <array>
@@ -19,18 +19,19 @@
 
 }  // namespace
 
-AnswerKind kindOf(const HttpAnswer& answer, const std::string& request, const HeaderNames& names, bool takes_unsigned) {
+ResponseKind kindOf(const HttpAnswer& answer, const std::string& request, const HeaderNames& names,
+                    bool takes_unsigned) {
     if (answer.status == kHttpMisdirected) {
-        return AnswerKind::kMisdirected;
+        return ResponseKind::kMisdirected;
     }
     if (answer.headers.has(names.not_executed)) {
-        return AnswerKind::kNotRun;
+        return ResponseKind::kNotRun;
     }
     const bool is_own = answer.headers.get(names.request_id) == request;
     const bool is_signed =
         takes_unsigned || (answer.headers.has(names.server_stamp) && !answer.headers.has("content-encoding"));
     const bool is_whole = isSuccess(answer.status) ? is_own && is_signed : !promisesNotRun(answer.status);
-    return is_whole ? AnswerKind::kWhole : AnswerKind::kSpoiled;
+    return is_whole ? ResponseKind::kWhole : ResponseKind::kSpoiled;
 }
 
 }  // namespace dewcrank::relay
--- a/src/relay/answer_kind.h
+++ b/src/relay/response_kind.h
@@ -9,7 +9,7 @@
 
 namespace dewcrank::relay {
 
-enum class AnswerKind {
+enum class ResponseKind {
     kWhole,        ///< The request's own answer, be it a failure.
     kNotRun,       ///< The instance says that it did not run it.
     kMisdirected,  ///< The same, as another instance than the one asked for is there.
@@ -18,7 +18,7 @@
 
 /// @param request id of the request. @param takes_unsigned tests only: a success without the instance's signature
 /// is an answer.
-[[nodiscard]] AnswerKind kindOf(const HttpAnswer& answer, const std::string& request, const HeaderNames& names,
-                                bool takes_unsigned);
+[[nodiscard]] ResponseKind kindOf(const HttpAnswer& answer, const std::string& request, const HeaderNames& names,
+                                  bool takes_unsigned);
 
 }  // namespace dewcrank::relay
--- a/src/relay/suspect_trials.cc
+++ b/src/relay/suspect_trials.cc
@@ -9,7 +9,7 @@
     turns_.setLimit(1);
 }
 
-void SuspectTrials::enter(Number number, TimePoint give_up_at, Callback callback) {
+void SuspectTrials::enter(CallId number, TimePoint give_up_at, Callback callback) {
     auto& trial = trials_[number];
     trial.give_up_at = give_up_at;
     trial.callback = std::move(callback);
@@ -26,7 +26,7 @@
     }
 }
 
-void SuspectTrials::onTurn(Number number, InstanceQueue::Decision decision) {
+void SuspectTrials::onTurn(CallId number, InstanceQueue::Decision decision) {
     auto& trial = trials_.at(number);
     trial.ticket = 0;
     trial.has_turn = decision == InstanceQueue::Decision::kGo;
@@ -34,7 +34,7 @@
 }
 
 /// Instances may have ended while it has waited for its turn.
-void SuspectTrials::askGate(Number number) {
+void SuspectTrials::askGate(CallId number) {
     auto& trial = trials_.at(number);
     const auto wait = gate_.wait();
     if (wait == Duration::zero()) {
@@ -46,12 +46,12 @@
     }
 }
 
-void SuspectTrials::decide(Number number, bool may_run) {
+void SuspectTrials::decide(CallId number, bool may_run) {
     const auto callback = std::exchange(trials_.at(number).callback, nullptr);
     callback(may_run);
 }
 
-void SuspectTrials::end(Number number, Duration time) {
+void SuspectTrials::end(CallId number, Duration time) {
     const auto ended = trials_.extract(number);
     if (ended.empty()) {
         return;
--- a/src/relay/suspect_trials.h
+++ b/src/relay/suspect_trials.h
@@ -15,17 +15,17 @@
 /// Knows suspects by the numbers of their requests.
 class SuspectTrials {
 public:
-    using Number = std::uint64_t;
+    using CallId = std::uint64_t;
     /// Told once, perhaps at once, whether the suspect may run now.
     using Callback = std::function<void(bool may_run)>;
 
     SuspectTrials(Clock& clock, QueueKnobs queue, quarantine::TrialGateKnobs gate);
 
     /// @param give_up_at it is refused then, or as soon as it is known that it cannot run before.
-    void enter(Number number, TimePoint give_up_at, Callback callback);
+    void enter(CallId number, TimePoint give_up_at, Callback callback);
     /// It has ended, is refused or has been cancelled; others may run. Does nothing for a request that is no suspect.
     /// @param time that its run took; zero if it tells nothing.
-    void end(Number number, Duration time);
+    void end(CallId number, Duration time);
     [[nodiscard]] quarantine::TrialGate& gate() { return gate_; }
 
 private:
@@ -36,14 +36,14 @@
         bool has_turn = false;
         TimerHandle timer;  ///< While it has its turn and waits for the gate.
     };
-    void onTurn(Number number, InstanceQueue::Decision decision);
-    void askGate(Number number);
-    void decide(Number number, bool may_run);
+    void onTurn(CallId number, InstanceQueue::Decision decision);
+    void askGate(CallId number);
+    void decide(CallId number, bool may_run);
 
     Clock& clock_;
     InstanceQueue turns_;
     quarantine::TrialGate gate_;
-    std::map<Number, Trial> trials_;
+    std::map<CallId, Trial> trials_;
 };
 
 }  // namespace dewcrank::relay
--- a/src/sidecar/load_log.cc
+++ b/src/sidecar/load_log.cc
@@ -39,14 +39,15 @@
 
 /// Once a second, while requests come: what `dewcrank repeats` sums over the fleet.
 void LoadLog::writeRepeats() {
-    const auto& now = relay_.repeatTotals();
+    const auto& now = relay_.retryTotals();
     const auto before = std::exchange(last_, now);
-    const auto counted_before = relay_.countedBefore() - std::exchange(last_counted_before_, relay_.countedBefore());
+    const auto counted_before =
+        relay_.countedElsewhere() - std::exchange(last_counted_before_, relay_.countedElsewhere());
     const double asked = now.requests - before.requests + now.inherited - before.inherited;
     if (asked <= 0 && now.granted == before.granted && now.denied == before.denied) {
         return;
     }
-    const auto window = relay_.repeatWindow();
+    const auto window = relay_.retryWindow();
     log_.write(Event("repeats")
                    .with("service", service_)
                    .with("requests", now.requests - before.requests)
@@ -57,7 +58,7 @@
                    .with("window_requests", window.requests)
                    .with("window_repeats", window.repeats)
                    .with("window_allowed", window.allowed)
-                   .with("relays", relay_.repeatSharers())
+                   .with("relays", relay_.retryRelayCount())
                    .with("ratio", bound_.ratio)
                    .with("slack", bound_.slack)
                    .with("window_s", toSeconds(bound_.window)));
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -91,7 +91,7 @@
     relay_.signalCrashed().connect(
         [this](const quarantine::CrashNotice& notice) { quarantine_exchange_.tell(notice); });
     relay_.setReplicaView([this] { return fleet::replicasOf(directory_, settings_.service); });
-    quarantine_exchange_.signalInstanceEnded().connect([this] { relay_.onInstanceEndedElsewhere(); });
+    quarantine_exchange_.signalInstanceEnded().connect([this] { relay_.onRemoteCrash(); });
     table_.signalAdopted().connect([this] { setProbePath(); });
     failure_detector_.signalSilent().connect([this](const std::string& name) { onNodeSilent(name); });
     directory_.signalChanged().connect(
@@ -122,7 +122,7 @@
 void SidecarNode::publishSelf() {
     auto record = instance_.record();
     ports_.log.write(Event("instance_changed")
-                         .with("instance", instance::lifeName(record))
+                         .with("instance", instance::incarnationName(record))
                          .with("service", record.service())
                          .with("state", wire::InstanceState_Name(record.state()))
                          .with("slots", record.slots()));
@@ -367,9 +367,9 @@
     }
     auto event = is_answered ? Event("relayed") : Event("relay_refused");
     ports_.log.write(event.with("request", request)
-                         .with("instance", instance::lifeName(instance_.record()))
+                         .with("instance", instance::incarnationName(instance_.record()))
                          .with("reason", relay::reasonText(result.reason))
-                         .with("offered", result.was_offered ? "yes" : "no")
+                         .with("offered", result.was_sent ? "yes" : "no")
                          .with("running", result.load.running)
                          .with("waiting", result.load.waiting)
                          .with("limit", result.load.limit)
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -102,13 +102,13 @@
     /// Shards of the quotas that this node hands out the tokens of.
     [[nodiscard]] std::size_t quotaShards() const { return shard_keeper_.grantingCount(); }
     /// Lives of the instances beside this node that it knows something of.
-    [[nodiscard]] std::size_t rememberedLives() const { return instance_.rememberedLives(); }
+    [[nodiscard]] std::size_t knownIncarnations() const { return instance_.knownIncarnations(); }
     [[nodiscard]] bool ownsQuotaShard(std::uint32_t shard) const { return shard_keeper_.mayGrant(shard); }
     /// How often the store has come back from an older copy, as far as is known here.
     [[nodiscard]] std::uint64_t storeEra() const { return gossip_.storeEra(); }
     /// How long ago the table was known to be the newest; nothing if it never was.
     [[nodiscard]] std::optional<Duration> tableAge() const { return lease_.age(ports_.clock.now()); }
-    [[nodiscard]] decision::RepeatWindow repeatWindow() { return relay_.repeatWindow(); }
+    [[nodiscard]] decision::RepeatWindow retryWindow() { return relay_.retryWindow(); }
 
 private:
     [[nodiscard]] static wire::NodeRecord firstRecord(const Settings& settings);
@@ -163,7 +163,7 @@
         quota::Token token;
     };
     std::map<CallNumber, Spent> spent_;
-    std::map<CallNumber, relay::RelayService::Number> relayed_;
+    std::map<CallNumber, relay::RelayService::CallId> relayed_;
     std::vector<std::unique_ptr<entry::EntryCall>> ended_calls_;
     TimerHandle ended_timer_;
     bool is_stopping_ = false;
--- a/tests/unit/instance/local_instance_test.cc
+++ b/tests/unit/instance/local_instance_test.cc
@@ -156,7 +156,7 @@
         local.onHeartbeat(lived("i" + std::to_string(life), life, 1));
         local.onLeave("i" + std::to_string(life), life);
     }
-    BOOST_TEST(local.rememberedLives() <= 100U);
+    BOOST_TEST(local.knownIncarnations() <= 100U);
     BOOST_TEST(!local.onHeartbeat(lived("i10000", 10'000, 2)));
     BOOST_TEST(!local.onHeartbeat(lived("i9990", 9990, 2)));
 }
--- a/tests/unit/platform/platform_test.cc
+++ b/tests/unit/platform/platform_test.cc
@@ -60,9 +60,9 @@
         heartbeats.push_back(heartbeat);
         return heartbeat.service != "elsewhere";
     }
-    void onInstanceLeave(const std::string& id, std::uint64_t born_ms) override {
+    void onInstanceLeave(const std::string& id, std::uint64_t start_ms) override {
         left.push_back(id);
-        left_born.push_back(born_ms);
+        left_born.push_back(start_ms);
     }
     std::vector<instance::Heartbeat> heartbeats;
     std::vector<std::string> left;
@@ -250,7 +250,7 @@
         return requests.handle(post("/dewcrank/Instances.Heartbeat/i-1", body.dump()), listener);
     };
     BOOST_TEST(tell(good).status == 200);
-    BOOST_TEST(listener.heartbeats.at(0).born_ms == 1'700'000'000'123U);
+    BOOST_TEST(listener.heartbeats.at(0).start_ms == 1'700'000'000'123U);
     const auto refused = [&](const std::string& field, const Json& body) {
         const auto answer = tell(body);
         const auto name = field.substr(field.rfind('/') + 1);
--- a/tests/unit/relay/crash_watch_test.cc
+++ b/tests/unit/relay/crash_detector_test.cc
@@ -1,4 +1,4 @@
-#include "src/relay/crash_watch.h"
+#include "src/relay/crash_detector.h"
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -49,7 +49,7 @@
 
     tests::VirtualTime time;
     ScriptedInstance instance{time.clock};
-    relay::CrashWatch watch{time.clock, instance, "i:1", {}};
+    relay::CrashDetector watch{time.clock, instance, "i:1", {}};
     std::vector<bool> judged;
 };
 
--- a/tests/unit/relay/relay_crash_test.cc
+++ b/tests/unit/relay/relay_crash_test.cc
@@ -73,9 +73,9 @@
         request.request.path = path;
         request.instance = local.record().id();
         request.deadline = time.clock.now() + 2s;
-        request.longest_wait = 1s;
+        request.max_wait = 1s;
         request.is_suspect = is_told_as_suspect;
-        request.is_only_choice = is_only_choice;
+        request.is_only_candidate = is_only_candidate;
         relay.start(std::move(request), [this](const relay::RelayResult& result) { reasons.push_back(result.reason); });
         time.advance(1ms);
     }
@@ -107,7 +107,7 @@
     std::vector<quarantine::CrashNotice> notices;
     std::vector<RelayReason> reasons;
     bool is_told_as_suspect = false;
-    bool is_only_choice = false;
+    bool is_only_candidate = false;
 };
 
 }  // namespace
@@ -120,7 +120,7 @@
     breakAll();
     BOOST_REQUIRE(notices.size() == 1U);
     BOOST_TEST(notices[0].suspects.size() == 2U);
-    BOOST_TEST((reasons == std::vector{RelayReason::kInstanceEnded, RelayReason::kInstanceEnded}));
+    BOOST_TEST((reasons == std::vector{RelayReason::kInstanceCrashed, RelayReason::kInstanceCrashed}));
     BOOST_TEST(!local.isReady());
     beat("i2", 1);
     start("/a");
@@ -149,7 +149,7 @@
     relay.setReplicaView([&replicas] { return replicas; });
     quarantine.suspect(fingerprint("/a"));
     quarantine.suspect(fingerprint("/b"));
-    relay.onInstanceEndedElsewhere();
+    relay.onRemoteCrash();
     start("/a");
     start("/b");
     start("/other");
@@ -157,7 +157,7 @@
     time.advance(250ms);
     BOOST_TEST(instances.paths == (std::vector<std::string>{"/other", "/a"}), boost::test_tools::per_element());
     replicas = {1, 2, 0};
-    relay.onInstanceEndedElsewhere();
+    relay.onRemoteCrash();
     answerAll();
     BOOST_TEST(instances.paths.empty());
     time.advance(1s);
@@ -258,7 +258,7 @@
     time.advance(1ms);
     BOOST_REQUIRE(reasons.size() == 18U);
     for (const auto reason : reasons) {
-        BOOST_TEST((reason == RelayReason::kInstanceEnded));
+        BOOST_TEST((reason == RelayReason::kInstanceCrashed));
     }
     BOOST_TEST(relay.load().running == 0U);
     BOOST_REQUIRE(notices.size() == 1U);
@@ -298,7 +298,7 @@
     relay.stop(time.clock.now() + 3s);
     start("/a");
     BOOST_TEST((reasons == std::vector{RelayReason::kStopping}));
-    is_only_choice = true;
+    is_only_candidate = true;
     start("/b");
     BOOST_TEST(instances.paths == std::vector<std::string>{"/b"}, boost::test_tools::per_element());
     relay.close();
--- a/tests/unit/relay/relay_parts_test.cc
+++ b/tests/unit/relay/relay_parts_test.cc
@@ -3,8 +3,8 @@
 #include <vector>
 
 #include "src/decision/repeat_budget.h"
-#include "src/relay/caller_census.h"
 #include "src/relay/instance_queue.h"
+#include "src/relay/internal_route_detector.h"
 #include "src/relay/relay_service.h"
 #include "src/relay/relay_wire.h"
 #include "tests/support/fakes.h"
@@ -45,9 +45,9 @@
     InstanceQueue queue(time.clock, {0.05, 100ms});
     queue.setLimit(1);
     std::vector<InstanceQueue::Decision> decisions;
-    const auto enter = [&](Duration longest_wait) {
+    const auto enter = [&](Duration max_wait) {
         const auto now = time.clock.now();
-        return queue.enter({now, now + longest_wait},
+        return queue.enter({now, now + max_wait},
                            [&](InstanceQueue::Decision decision) { decisions.push_back(decision); });
     };
     enter(1s);
@@ -112,11 +112,11 @@
     heartbeat.sequence = 1;
     local.onHeartbeat(heartbeat);
     auto reason = relay::RelayReason::kNone;
-    const auto start = [&](bool is_repeat) {
+    const auto start = [&](bool is_retry) {
         relay::RelayRequest request;
         request.instance = "i1";
-        request.is_repeat = is_repeat;
-        request.is_counted = is_repeat || are_counted_elsewhere;
+        request.is_retry = is_retry;
+        request.is_counted = is_retry || are_counted_elsewhere;
         request.deadline = time.clock.now() + 1s;
         relay.start(std::move(request), [&](relay::RelayResult result) { reason = result.reason; });
     };
@@ -154,7 +154,7 @@
 /// request would allow the service's repeats twice.
 BOOST_AUTO_TEST_CASE(a_request_allows_repeats_at_one_relay_only) {
     BOOST_TEST((repeatAfter40(false) == relay::RelayReason::kNone));
-    BOOST_TEST((repeatAfter40(true) == relay::RelayReason::kRepeatBudget));
+    BOOST_TEST((repeatAfter40(true) == relay::RelayReason::kRetryBudget));
 }
 
 /// One repeat is allowed here. What fails beside it takes that one along, also to a relay that has none left.
@@ -175,29 +175,29 @@
     heartbeat.sequence = 1;
     local.onHeartbeat(heartbeat);
     std::vector<relay::RelayResult> results;
-    const auto send = [&](relay::FailurePlan plan, bool is_paid) {
+    const auto send = [&](relay::RetryPolicy plan, bool is_paid) {
         relay::RelayRequest request;
         request.instance = "i1";
-        request.failure_plan = plan;
-        request.is_repeat = is_paid;
-        request.is_repeat_paid = is_paid;
+        request.retry_policy = plan;
+        request.is_retry = is_paid;
+        request.is_retry_paid = is_paid;
         request.deadline = time.clock.now() + 1s;
         relay.start(std::move(request), [&](relay::RelayResult result) { results.push_back(std::move(result)); });
         time.advance(2ms);
     };
     for (int number = 0; number < 4; ++number) {
-        send(relay::FailurePlan::kGiveUp, false);
+        send(relay::RetryPolicy::kNever, false);
     }
-    send(relay::FailurePlan::kRepeatIfNotRun, false);  // It has run.
-    send(relay::FailurePlan::kRepeat, false);
-    send(relay::FailurePlan::kRepeat, false);  // There is none left.
-    send(relay::FailurePlan::kGiveUp, true);   // Paid elsewhere.
+    send(relay::RetryPolicy::kIfNotRun, false);  // It has run.
+    send(relay::RetryPolicy::kAlways, false);
+    send(relay::RetryPolicy::kAlways, false);  // There is none left.
+    send(relay::RetryPolicy::kNever, true);    // Paid elsewhere.
     BOOST_REQUIRE(results.size() == 8U);
     for (std::size_t number = 0; number < results.size(); ++number) {
-        BOOST_TEST(results[number].is_repeat_paid == (number == 5), "request " << number);
+        BOOST_TEST(results[number].is_retry_paid == (number == 5), "request " << number);
         BOOST_TEST((results[number].outcome == relay::RelayOutcome::kAnswered), "request " << number);
     }
-    BOOST_TEST(relay.repeatTotals().granted == 1U);
+    BOOST_TEST(relay.retryTotals().granted == 1U);
 }
 
 /// Answers when it is told to, and keeps the order in which requests were sent.
@@ -300,7 +300,7 @@
 
 BOOST_AUTO_TEST_CASE(a_route_is_inner_if_its_requests_begin_beside_too_few_services) {
     tests::VirtualTime time;
-    relay::CallerCensus census(time.clock, [](const std::string&) { return 0.25; });
+    relay::InternalRouteDetector census(time.clock, [](const std::string&) { return 0.25; });
     BOOST_TEST(!census.isInner("unseen"));
     for (int count = 0; count < 20; ++count) {
         census.onRequest("inner", "desk");
@@ -323,16 +323,16 @@
     request.request.headers.set("x-own", "kept");
     request.request.body = "body";
     request.instance = "i1";
-    request.is_repeat = true;
-    request.is_last_choice = true;
+    request.is_retry = true;
+    request.is_last_candidate = true;
     request.lineage = {0.25, 3.5};
     request.route = "r";
     request.priority = 3;
     request.deadline = TimePoint(5s);
-    request.longest_wait = 70ms;
-    request.is_repeat_paid = true;
-    request.is_only_choice = true;
-    request.failure_plan = relay::FailurePlan::kRepeat;
+    request.max_wait = 70ms;
+    request.is_retry_paid = true;
+    request.is_only_candidate = true;
+    request.retry_policy = relay::RetryPolicy::kAlways;
     const auto message = relay::toHttp(request, {"n1", 7}, TimePoint(4s));
     const auto received = relay::fromHttp(message, TimePoint(9s));
     BOOST_REQUIRE(received.has_value());
@@ -340,16 +340,16 @@
     BOOST_TEST(received->sender.table_version == 7U);
     const auto* read = &received->request;
     BOOST_TEST(read->instance == "i1");
-    BOOST_TEST(read->is_repeat);
-    BOOST_TEST(read->is_last_choice);
-    BOOST_TEST(read->is_repeat_paid);
-    BOOST_TEST(read->is_only_choice);
-    BOOST_TEST((read->failure_plan == relay::FailurePlan::kRepeat));
+    BOOST_TEST(read->is_retry);
+    BOOST_TEST(read->is_last_candidate);
+    BOOST_TEST(read->is_retry_paid);
+    BOOST_TEST(read->is_only_candidate);
+    BOOST_TEST((read->retry_policy == relay::RetryPolicy::kAlways));
     BOOST_TEST(read->lineage.repeat_share == 0.25);
     BOOST_TEST(read->lineage.represents == 3.5);
     BOOST_TEST(read->priority == 3U);
     BOOST_TEST((read->deadline == TimePoint(10s)));  // The time left, on the relay's own clock.
-    BOOST_TEST((read->longest_wait == 70ms));
+    BOOST_TEST((read->max_wait == 70ms));
     BOOST_TEST(read->request.headers.lines().size() == 1U);
     BOOST_TEST(read->request.body == "body");
     BOOST_TEST(!relay::fromHttp(read->request, TimePoint(9s)).has_value());
@@ -357,11 +357,11 @@
     for (const auto outcome :
          {relay::RelayOutcome::kAnswered, relay::RelayOutcome::kNotRun, relay::RelayOutcome::kUnknown}) {
         relay::RelayResult result;
-        result.failed_below = true;
-        result.is_repeat_paid = true;
+        result.failed_downstream = true;
+        result.is_retry_paid = true;
         result.outcome = outcome;
         result.reason = relay::RelayReason::kQueueTooLong;
-        result.was_offered = true;
+        result.was_sent = true;
         result.answer.status = 418;
         result.load = {4, 5, 6, 7ms};
         result.report.below = {"leaf", 0.25, 88ms};
@@ -384,8 +384,8 @@
         BOOST_TEST(back.report.load.busy == 17.25);
         BOOST_TEST((back.report.time == 22ms));
         BOOST_TEST(back.report.is_inner.value());
-        BOOST_TEST(back.failed_below);
-        BOOST_TEST(back.is_repeat_paid);
+        BOOST_TEST(back.failed_downstream);
+        BOOST_TEST(back.is_retry_paid);
         BOOST_TEST((back.answer.status == 418) == (outcome == relay::RelayOutcome::kAnswered));
     }
     HttpAnswer foreign;
--- a/tests/unit/relay/relay_repeats_test.cc
+++ b/tests/unit/relay/relay_retries_test.cc
@@ -12,7 +12,7 @@
 
 #include "src/base/http_status.h"
 #include "src/decision/call_graph.h"
-#include "src/relay/relay_repeats.h"
+#include "src/relay/relay_retries.h"
 #include "tests/support/fakes.h"
 
 using namespace dewcrank;
@@ -28,12 +28,12 @@
 struct Service {
     tests::VirtualTime time;
     decision::CallGraph graph{{}};
-    std::vector<std::unique_ptr<relay::RelayRepeats>> relays;
+    std::vector<std::unique_ptr<relay::RelayRetries>> relays;
     double repeats = 0;
 
     Service() {
         for (std::size_t count = 0; count < kRelays; ++count) {
-            relays.push_back(std::make_unique<relay::RelayRepeats>(time.clock, graph, kBound));
+            relays.push_back(std::make_unique<relay::RelayRetries>(time.clock, graph, kBound));
         }
         setRelayCount(kRelays);
     }
@@ -52,10 +52,10 @@
     }
     void spendAll() {
         relay::RelayRequest request;
-        request.failure_plan = relay::FailurePlan::kRepeat;
+        request.retry_policy = relay::RetryPolicy::kAlways;
         relay::RelayResult failure;
         failure.outcome = relay::RelayOutcome::kAnswered;
-        failure.was_offered = true;
+        failure.was_sent = true;
         failure.answer.status = kHttpInternalServerError;
         for (auto& relay : relays) {
             while (relay->paysRepeat(request, failure)) {
