--- a/src/instance/local_instance.cc
+++ b/src/instance/local_instance.cc
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Lives that are remembered, so that late messages of them change nothing: more than are lost within the time for
-/// which a message may be held up, where an instance is started anew each second.
-constexpr std::size_t kMostLives = 64;
-/// A life that seems to have started before the present one, which has ended, is heard for so long before it is taken:
-/// heartbeats that were held up by a cut arrive together, those of an instance whose clock was set back go on.
-constexpr Duration kEarlierLifeWait = 1s;
+/// Former incarnations are kept so that their delayed messages are ignored: enough for an instance that restarts every
+/// second while messages are delayed by up to a minute.
+constexpr std::size_t kMaxIncarnations = 64;
+/// Time for which an incarnation with an earlier start time has to send heartbeats before it replaces one that is down.
+/// Tells an instance whose clock was set back from delayed heartbeats, which arrive together.
+constexpr Duration kEarlierStartDelay = 1s;
 
 }  // namespace
 
@@ -19,67 +19,67 @@
     return record.born_ms() == 0 ? record.id() : record.id() + "@" + std::to_string(record.born_ms());
 }
 
-LocalInstance::LocalInstance(Clock& clock, Duration longest_silence)
-    : clock_(clock), longest_silence_(longest_silence) {}
-
-LocalInstance::Past& LocalInstance::pastOf(const Life& life) {
-    auto& past = known_lives_[life];
-    past.touched = ++last_touch_;
-    if (known_lives_.size() > kMostLives) {
-        const auto own = present();
-        const auto oldest =
-            std::min_element(known_lives_.begin(), known_lives_.end(), [&own](const auto& left, const auto& right) {
-                return std::make_pair(left.first == own, left.second.touched) <
-                       std::make_pair(right.first == own, right.second.touched);
-            });
-        known_lives_.erase(oldest);
+LocalInstance::LocalInstance(Clock& clock, Duration contact_timeout)
+    : clock_(clock), contact_timeout_(contact_timeout) {}
+
+LocalInstance::IncarnationState& LocalInstance::stateOf(const Incarnation& incarnation) {
+    auto& state = incarnations_[incarnation];
+    state.last_use = ++last_use_;
+    if (incarnations_.size() > kMaxIncarnations) {
+        const auto active = current();
+        const auto oldest = std::min_element(incarnations_.begin(), incarnations_.end(),
+                                             [&active](const auto& left, const auto& right) {
+                                                 return std::make_pair(left.first == active, left.second.last_use) <
+                                                        std::make_pair(right.first == active, right.second.last_use);
+                                             });
+        incarnations_.erase(oldest);
     }
-    return known_lives_[life];
+    return incarnations_[incarnation];
 }
 
-/// True if a life that is heard is the present one from now on.
-bool LocalInstance::succeeds(const Life& life, Past* past) {
-    const auto own = present();
-    if (own.first.empty() || life == own) {
+/// @return whether the incarnation that sent a heartbeat is the current one from now on.
+bool LocalInstance::replacesCurrent(const Incarnation& incarnation, IncarnationState* state) {
+    const auto active = current();
+    if (active.first.empty() || incarnation == active) {
         return true;
     }
-    const bool are_starts_told = life.second > 0 && own.second > 0;
-    if (!are_starts_told && life.first == own.first) {
-        return life.second > own.second;
+    const bool are_starts_known = incarnation.second > 0 && active.second > 0;
+    if (!are_starts_known && incarnation.first == active.first) {
+        return incarnation.second > active.second;
     }
-    if (!are_starts_told || life.second >= own.second) {
+    if (!are_starts_known || incarnation.second >= active.second) {
         return true;
     }
-    const bool has_own_ended = record_.state() == wire::INSTANCE_UNKNOWN || record_.state() == wire::INSTANCE_GONE;
-    if (!has_own_ended) {
-        past->waiting_since.reset();
+    const bool is_current_down = record_.state() == wire::INSTANCE_UNKNOWN || record_.state() == wire::INSTANCE_GONE;
+    if (!is_current_down) {
+        state->first_seen.reset();
         return false;
     }
-    past->waiting_since = past->waiting_since.value_or(clock_.now());
-    return clock_.now() - *past->waiting_since >= kEarlierLifeWait;
+    state->first_seen = state->first_seen.value_or(clock_.now());
+    return clock_.now() - *state->first_seen >= kEarlierStartDelay;
 }
 
 bool LocalInstance::onHeartbeat(const Heartbeat& heartbeat) {
-    const Life life{heartbeat.id, heartbeat.born_ms};
-    auto& past = pastOf(life);
-    if (past.is_gone || (past.sequence > 0 && heartbeat.sequence <= past.sequence)) {
+    const Incarnation incarnation{heartbeat.id, heartbeat.start_ms};
+    auto& state = stateOf(incarnation);
+    if (state.has_left || (state.sequence > 0 && heartbeat.sequence <= state.sequence)) {
         return false;
     }
-    past.sequence = heartbeat.sequence;
-    if (!succeeds(life, &past)) {
+    state.sequence = heartbeat.sequence;
+    if (!replacesCurrent(incarnation, &state)) {
         return false;
     }
-    last_heard_ = clock_.now();
-    watchSilence();
+    last_contact_ = clock_.now();
+    startContactTimer();
     wire::InstanceRecord record;
     record.set_service(heartbeat.service);
     record.set_id(heartbeat.id);
-    record.set_born_ms(heartbeat.born_ms);
+    record.set_born_ms(heartbeat.start_ms);
     record.set_slots(heartbeat.slots);
     record.set_state(heartbeat.is_draining ? wire::INSTANCE_DRAINING : wire::INSTANCE_READY);
     record.set_cold_left_ms(static_cast<std::uint32_t>(toMilliseconds(heartbeat.cold_left)));
-    // The cold time runs off by itself: it is no change.
-    const bool is_change = life != present() || record.state() != record_.state() ||
+    // The remaining warm-up time passes by itself and does not count as a change.
+    const bool is_change = incarnation != current() || record.state() != record_.state() ||
                            record.slots() != record_.slots() || record.service() != record_.service();
     if (is_change) {
         record_ = record;
@@ -88,17 +88,17 @@
     return true;
 }
 
-/// A leave that does not say of which life it is ends the one that is there: taken for an earlier one's, it would be
-/// acknowledged while the instance goes on getting requests. The leave of a later life tells that this one has ended.
-void LocalInstance::onLeave(const std::string& id, std::uint64_t born_ms) {
-    const auto own = present();
-    const bool is_own = own.first.empty() || (own.first == id && (born_ms == 0 || own.second == 0));
-    const Life life{id, born_ms == 0 && is_own ? own.second : born_ms};
-    pastOf(life).is_gone = true;
-    const bool is_later = own.second > 0 && born_ms > own.second;
-    if (is_own || is_later || life == own) {
+/// A leave without a start time applies to the current incarnation: if it were ignored, an instance that is stopping
+/// would still be sent requests. The leave of a later incarnation implies that the current one is gone as well.
+void LocalInstance::onLeave(const std::string& id, std::uint64_t start_ms) {
+    const auto active = current();
+    const bool names_current = active.first.empty() || (active.first == id && (start_ms == 0 || active.second == 0));
+    const Incarnation incarnation{id, start_ms == 0 && names_current ? active.second : start_ms};
+    stateOf(incarnation).has_left = true;
+    const bool is_later = active.second > 0 && start_ms > active.second;
+    if (names_current || is_later || incarnation == active) {
         record_.set_id(id);
-        record_.set_born_ms(life.second);
+        record_.set_born_ms(incarnation.second);
         setState(wire::INSTANCE_GONE);
     }
 }
@@ -111,14 +111,14 @@
 
 void LocalInstance::onWoken() {
     if (isReady()) {
-        last_heard_ = clock_.now();
-        watchSilence();
+        last_contact_ = clock_.now();
+        startContactTimer();
     }
 }
 
 void LocalInstance::onMisdirected(const std::string& expected) {
     if (record_.id() == expected) {
-        pastOf(present()).is_gone = true;
+        stateOf(current()).has_left = true;
         setState(wire::INSTANCE_GONE);
     }
 }
@@ -130,12 +130,12 @@
     }
 }
 
-void LocalInstance::watchSilence() {
-    silence_timer_ = clock_.startTimer(longest_silence_, [this] {
-        if (clock_.now() - last_heard_ >= longest_silence_) {
+void LocalInstance::startContactTimer() {
+    contact_timer_ = clock_.startTimer(contact_timeout_, [this] {
+        if (clock_.now() - last_contact_ >= contact_timeout_) {
             onUnreachable();
         } else {
-            watchSilence();
+            startContactTimer();
         }
     });
 }
--- a/src/instance/local_instance.h
+++ b/src/instance/local_instance.h
@@ -1,5 +1,5 @@
 /// @file
-/// The instance beside a node, as its heartbeats tell it.
+/// State of the application instance that is co-located with a node, derived from its heartbeats.
 #pragma once
 
 #include <sigc++/sigc++.h>
@@ -16,73 +16,76 @@
 
 namespace dewcrank::instance {
 
-/// One heartbeat.
+/// One heartbeat of an instance.
 struct Heartbeat {
-    std::string id;             ///< Mostly new with each start of the instance.
-    std::uint64_t born_ms = 0;  ///< Unix time of that start, by its machine's clock; 0: it does not say.
+    std::string id;              ///< Id of the instance; most instances use a new one after each start.
+    std::uint64_t start_ms = 0;  ///< Unix time of the start in ms, by the clock of its host; 0 if not reported.
     std::string service;
-    std::uint32_t slots = 0;
+    std::uint32_t slots = 0;  ///< Requests that the instance runs at once.
     bool is_draining = false;
-    std::uint64_t sequence = 0;  ///< Rises with each call of this life of the instance.
-    Duration cold_left{};        ///< How much longer it is slow from its start.
+    std::uint64_t sequence = 0;  ///< Increases with each heartbeat of one incarnation.
+    Duration cold_left{};        ///< Time until the instance is warmed up.
 };
 
-/// The name of one life of an instance, for logs and for what is kept by life: several may have the same id.
+/// Name of one incarnation of an instance: its id and, if known, its start time. Used in logs and as a key, since
+/// several incarnations may share an id.
 std::string incarnationName(const wire::InstanceRecord& record);
 
-/// Aggregate: what is known of the one instance beside the node. What an acknowledged heartbeat has said is never taken
-/// back by a later arrival of an earlier one; a life of an instance that has left never returns. Of two lives the one
-/// that started later is the present one, whatever their ids and counts: the former has ended, as both have the same
-/// address. Where starts are not told, the last one heard is.
+/// Tracks the one instance co-located with the node. Each start of an instance is an incarnation (id, start time).
+/// Invariants: an older heartbeat never overrides a newer one of the same incarnation, and an incarnation that has
+/// left never returns. Of two incarnations the one with the later start time is current, since both use the same
+/// address; without start times it is the one received last.
 class LocalInstance {
 public:
-    /// @param longest_silence without heartbeat and answer, after which it counts as unknown.
-    LocalInstance(Clock& clock, Duration longest_silence);
+    /// @param contact_timeout time without heartbeat and response after which the state becomes unknown.
+    LocalInstance(Clock& clock, Duration contact_timeout);
 
-    /// @return false if the heartbeat is older than what is known.
+    /// @return false if the heartbeat is outdated and was ignored.
     bool onHeartbeat(const Heartbeat& heartbeat);
-    void onLeave(const std::string& id, std::uint64_t born_ms = 0);
-    /// It could not be reached: unknown until its next heartbeat.
+    /// The instance announces its shutdown. @param start_ms start time of the incarnation that leaves; 0 if unknown.
+    void onLeave(const std::string& id, std::uint64_t start_ms = 0);
+    /// The instance could not be reached: its state is unknown until its next heartbeat.
     void onUnreachable();
-    /// It has answered.
-    void onAnswered() { last_heard_ = clock_.now(); }
-    /// The machine was suspended: neither heartbeats nor answers could come.
+    /// The instance has responded to a request: restarts the contact timeout.
+    void onResponse() { last_contact_ = clock_.now(); }
+    /// The host resumed from suspension: restarts the contact timeout, as nothing could arrive meanwhile.
     void onWoken();
-    /// Another instance than `expected` has answered at the address.
+    /// Another instance than `expected` has responded at the address: `expected` counts as gone.
     void onMisdirected(const std::string& expected);
 
+    /// The current incarnation as it is sent to other nodes.
     [[nodiscard]] const wire::InstanceRecord& record() const { return record_; }
-    /// Lives that it knows something of, the present one included.
-    [[nodiscard]] std::size_t knownIncarnations() const { return known_lives_.size(); }
+    /// Number of incarnations with a record here, including the current one.
+    [[nodiscard]] std::size_t knownIncarnations() const { return incarnations_.size(); }
     [[nodiscard]] bool isReady() const { return record_.state() == wire::INSTANCE_READY; }
-    [[nodiscard]] bool takesCallsFor(const std::string& id) const { return isReady() && record_.id() == id; }
+    /// @return whether calls for the instance `id` may be sent to the address.
+    [[nodiscard]] bool acceptsCallsFor(const std::string& id) const { return isReady() && record_.id() == id; }
 
-    /// Emitted after each change.
+    /// Emitted after each change of id, state, slots or service.
     sigc::signal<void()>& signalChanged() { return signal_changed_; }
 
 private:
-    /// A start of an instance: its id, and when it was.
-    using Life = std::pair<std::string, std::uint64_t>;
-    /// What is known of a life, past ones included.
-    struct Past {
-        std::uint64_t sequence = 0;
-        bool is_gone = false;
-        std::uint64_t touched = 0;               ///< Numbers what was told last; the least is forgotten first.
-        std::optional<TimePoint> waiting_since;  ///< It seems earlier than the present life, which has ended.
+    using Incarnation = std::pair<std::string, std::uint64_t>;  ///< Id and start time in ms.
+    /// Last reported state of a current or former incarnation.
+    struct IncarnationState {
+        std::uint64_t sequence = 0;           ///< Of its newest heartbeat.
+        bool has_left = false;                ///< Later heartbeats are ignored.
+        std::uint64_t last_use = 0;           ///< The entry with the lowest value is evicted first.
+        std::optional<TimePoint> first_seen;  ///< Set while an earlier start time delays the replacement.
     };
-    Past& pastOf(const Life& life);
-    [[nodiscard]] Life present() const { return {record_.id(), record_.born_ms()}; }
-    bool succeeds(const Life& life, Past* past);
+    IncarnationState& stateOf(const Incarnation& incarnation);
+    [[nodiscard]] Incarnation current() const { return {record_.id(), record_.born_ms()}; }
+    bool replacesCurrent(const Incarnation& incarnation, IncarnationState* state);
     void setState(wire::InstanceState state);
-    void watchSilence();
+    void startContactTimer();
 
     Clock& clock_;
-    Duration longest_silence_;
+    Duration contact_timeout_;
     wire::InstanceRecord record_;
-    std::map<Life, Past> known_lives_;  ///< kMostLives at most.
-    std::uint64_t last_touch_ = 0;
-    TimePoint last_heard_{};
-    TimerHandle silence_timer_;
+    std::map<Incarnation, IncarnationState> incarnations_;  ///< At most kMaxIncarnations.
+    std::uint64_t last_use_ = 0;
+    TimePoint last_contact_{};
+    TimerHandle contact_timer_;
     sigc::signal<void()> signal_changed_;
 };
 
--- a/src/relay/crash_detector.cc
+++ b/src/relay/crash_detector.cc
@@ -6,28 +6,28 @@
 
 namespace {
 
-/// A probe may go out on a kept connection that has just been closed as well; the next one opens a new one. An
-/// instance that closes each of them is not there either: its address is held by something in between.
-constexpr int kProbes = 3;
+/// A probe may reuse an idle connection that was closed as well; the next one opens a new connection. If all probes
+/// lose their connections, a proxy holds the address and the instance is down.
+constexpr int kMaxProbes = 3;
 
 }  // namespace
 
 CrashDetector::CrashDetector(Clock& clock, BackEndPort& instances, std::string address, CrashDetectorKnobs knobs)
     : clock_(clock), instances_(instances), address_(std::move(address)), knobs_(knobs) {}
 
-void CrashDetector::onBroken(std::size_t running) {
-    if (!isJudging()) {
-        running_at_first_ = running;
-        timer_ = clock_.startTimer(knobs_.settle, [this] { onSettled(); });
+void CrashDetector::onConnectionLost(std::size_t running) {
+    if (!isPending()) {
+        running_at_start_ = running;
+        timer_ = clock_.startTimer(knobs_.burst_window, [this] { onBurstEnded(); });
     }
-    ++broken_;
+    ++lost_;
 }
 
-void CrashDetector::onSettled() {
-    if (2 * broken_ >= running_at_first_) {
-        probe(kProbes);
+void CrashDetector::onBurstEnded() {
+    if (2 * lost_ >= running_at_start_) {
+        probe(kMaxProbes);
     } else {
-        judge(false);
+        decide(false);
     }
 }
 
@@ -41,23 +41,23 @@
                                  if (isConnectionLost(result) && probes_left > 1) {
                                      probe(probes_left - 1);
                                  } else {
-                                     judge(isConnectionLost(result) || isRefused(result));
+                                     decide(isConnectionLost(result) || isRefused(result));
                                  }
                              });
 }
 
-void CrashDetector::onRefused() {
-    if (isJudging() && 2 * broken_ >= running_at_first_) {
-        judge(true);
+void CrashDetector::onConnectionRefused() {
+    if (isPending() && 2 * lost_ >= running_at_start_) {
+        decide(true);
     }
 }
 
-/// Runs from within the probe's callback or the timer's: both may be destroyed there.
-void CrashDetector::judge(bool has_ended) {
-    broken_ = 0;
+/// Called from the callback of the probe or of the timer; both may be destroyed there.
+void CrashDetector::decide(bool has_crashed) {
+    lost_ = 0;
     timer_.reset();
     probe_.reset();
-    signal_judged_.emit(has_ended);
+    signal_decided_.emit(has_crashed);
 }
 
 }  // namespace dewcrank::relay
--- a/src/relay/crash_detector.h
+++ b/src/relay/crash_detector.h
@@ -1,9 +1,8 @@
 /// @file
-/// Tells the end of an instance from single connections that break.
+/// Tells the crash of an instance from the loss of single connections.
 ///
-/// An instance that ends breaks all of its connections at once, and takes no new one. One that resets a
-/// connection, or loses an answer, goes on with its other runs; so does one whose machine has its connections
-/// reset, which takes new ones. A frozen instance breaks none.
+/// A crash closes all connections of the instance at once, and its port accepts no new ones. An instance that is
+/// alive keeps its other runs when one connection is reset, and accepts new connections. A frozen instance closes none.
 #pragma once
 
 #include <sigc++/sigc++.h>
@@ -16,47 +15,45 @@
 
 namespace dewcrank::relay {
 
-/// Constants of the watch.
+/// Constants of the detector.
 struct CrashDetectorKnobs {
-    /// The connections of an instance that has ended are read within this: 10 ms for 107 of them, measured on
-    /// a machine with 0.4 cores.
-    Duration settle = 15ms;
-    /// An instance that is there takes a connection within this, whether or not it has room.
-    Duration probe_timeout = 150ms;
+    Duration burst_window = 15ms;    ///< The connections closed by a crash are read within this time.
+    Duration probe_timeout = 150ms;  ///< A live instance accepts a connection within this time, even if it is full.
 };
 
-/// Watches one instance. Costs nothing while no connection breaks, and one probe for each burst in which half
-/// of the runs have lost theirs.
+/// Watches one instance. Idle while no connection is lost; probes the instance after each burst in which at least half
+/// of the runs lost their connections.
 class CrashDetector {
 public:
     CrashDetector(Clock& clock, BackEndPort& instances, std::string address, CrashDetectorKnobs knobs);
 
-    /// @param path where the instance answers probes.
+    /// @param path of the health endpoint of the instance, used for probes.
     void setProbePath(std::string path) { probe_path_ = std::move(path); }
-    /// The connection of a run has broken. @param running runs that the instance had, this one included.
-    void onBroken(std::size_t running);
-    /// The instance has not taken a connection.
-    void onRefused();
-    [[nodiscard]] bool isJudging() const { return broken_ > 0; }
+    /// The connection of a run was lost. @param running number of runs at the instance, including this one.
+    void onConnectionLost(std::size_t running);
+    /// The instance refused a connection: decides a pending burst without waiting for a probe.
+    void onConnectionRefused();
+    /// @return whether a burst was seen and its decision is pending.
+    [[nodiscard]] bool isPending() const { return lost_ > 0; }
 
-    /// Emitted once after each burst, with whether the instance has ended.
-    sigc::signal<void(bool)>& signalJudged() { return signal_judged_; }
+    /// Emitted once after each burst with true if the instance has crashed.
+    sigc::signal<void(bool)>& signalDecided() { return signal_decided_; }
 
 private:
-    void onSettled();
+    void onBurstEnded();
     void probe(int probes_left);
-    void judge(bool has_ended);
+    void decide(bool has_crashed);
 
     Clock& clock_;
     BackEndPort& instances_;
     std::string address_;
     CrashDetectorKnobs knobs_;
     std::string probe_path_ = "/health";
-    std::size_t broken_ = 0;            ///< In the present burst; 0 between two of them.
-    std::size_t running_at_first_ = 0;  ///< When the burst began.
+    std::size_t lost_ = 0;              ///< Connections lost in the current burst; 0 outside of bursts.
+    std::size_t running_at_start_ = 0;  ///< Runs when the burst began.
     TimerHandle timer_;
     AttemptHandle probe_;
-    sigc::signal<void(bool)> signal_judged_;
+    sigc::signal<void(bool)> signal_decided_;
 };
 
 }  // namespace dewcrank::relay
--- a/src/relay/instance_queue.h
+++ b/src/relay/instance_queue.h
@@ -1,5 +1,5 @@
 /// @file
-/// Lets requests into one instance: as many at once as it has slots, the most pressing first.
+/// Bounds the requests that run at one instance at once; the others wait in order of their virtual deadlines.
 #pragma once
 
 #include <cstdint>
@@ -14,62 +14,63 @@
 
 /// Constants of the queue.
 struct QueueKnobs {
-    /// Weight of one answer in the moving average of the time in the instance.
-    double time_weight = 0.05;
-    Duration first_estimate = 100ms;
+    double time_weight = 0.05;          ///< Weight of one response in the moving average of the service time.
+    Duration initial_estimate = 100ms;  ///< Mean service time before the first response.
 };
 
-/// A request that asks to be let in.
+/// A request for admission.
 struct QueueRequest {
-    TimePoint order{};       ///< Earlier ones go first.
-    TimePoint give_up_at{};  ///< Leaves the queue then at the latest.
+    TimePoint virtual_deadline{};  ///< The earliest one is admitted first.
+    TimePoint expires_at{};        ///< The request leaves the queue at this time if it is not admitted before.
 };
 
-/// How full an instance is.
+/// Load of an instance.
 struct QueueLoad {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
-    std::uint32_t limit = 0;
-    Duration mean_time{};  ///< That a request holds a slot for.
+    std::uint32_t limit = 0;       ///< Requests that may run at once.
+    Duration mean_service_time{};  ///< Moving average of the time that a request holds a slot.
 };
 
-/// Owns no request: it counts them, and calls back when one may go or has to give up.
+/// Counts the running requests and calls back when a waiting one is admitted or expires. Does not own the requests.
 class InstanceQueue {
 public:
-    enum class Decision { kGo, kTimedOut, kTooLong };
+    enum class Decision { kAdmitted, kTimedOut, kWaitTooLong };
     using Callback = std::function<void(Decision)>;
 
-    InstanceQueue(Clock& clock, QueueKnobs knobs) : clock_(clock), knobs_(knobs), mean_time_(knobs.first_estimate) {}
+    InstanceQueue(Clock& clock, QueueKnobs knobs)
+        : clock_(clock), knobs_(knobs), mean_service_time_(knobs.initial_estimate) {}
 
+    /// @param limit of running requests; waiting requests are admitted at once if it allows them.
     void setLimit(std::uint32_t limit);
-    /// Lets a request in at once, queues it, or refuses it if it would wait for too long by the
-    /// present estimate. @return a ticket for `cancel` if it waits, else 0.
+    /// Admits a request, queues it, or rejects it if its expected wait exceeds `expires_at`. Calls back before it
+    /// returns unless the request is queued. @return a ticket for `cancel` if the request is queued, else 0.
     std::uint64_t enter(const QueueRequest& request, Callback callback);
-    /// Takes a waiting request out; its callback is not called.
+    /// Removes a waiting request; its callback is not called.
     void cancel(std::uint64_t ticket);
-    /// A request that was let in has ended. @param time that it took; zero if it tells nothing.
+    /// An admitted request has ended. @param time that it held its slot; zero to leave the average as it is.
     void leave(Duration time);
-    /// How long a request of this place in the order would wait now.
-    [[nodiscard]] Duration expectedWait(TimePoint order) const;
+    /// @return the expected wait of a request with this virtual deadline if it came now.
+    [[nodiscard]] Duration expectedWait(TimePoint virtual_deadline) const;
     [[nodiscard]] QueueLoad load() const;
-    [[nodiscard]] Duration meanTime() const { return mean_time_; }
+    [[nodiscard]] Duration meanServiceTime() const { return mean_service_time_; }
 
 private:
-    using Key = std::pair<TimePoint, std::uint64_t>;  ///< Order, then arrival.
+    using Key = std::pair<TimePoint, std::uint64_t>;  ///< Virtual deadline, then ticket: first come, first served.
     struct Waiter {
         Callback callback;
-        TimerHandle timer;
+        TimerHandle timer;  ///< Fires at `expires_at`.
     };
-    void serve();
+    void admitWaiting();
 
     Clock& clock_;
     QueueKnobs knobs_;
     std::uint32_t limit_ = 0;
     std::uint32_t running_ = 0;
-    Duration mean_time_;
+    Duration mean_service_time_;
     std::uint64_t last_ticket_ = 0;
     std::map<Key, Waiter> waiting_;
-    std::map<std::uint64_t, TimePoint> orders_;  ///< By ticket.
+    std::map<std::uint64_t, TimePoint> virtual_deadlines_;  ///< Of the waiting requests by ticket.
 };
 
 }  // namespace dewcrank::relay
--- a/src/relay/internal_route_detector.cc
+++ b/src/relay/internal_route_detector.cc
@@ -6,36 +6,37 @@
 
 namespace {
 
-/// Counts are halved this often, so that a moved route is learned anew.
+/// Interval at which the counts are halved, so that changes of the callers are detected.
 constexpr Duration kHalfLife = 10s;
-/// A route counts as inner if callers would give its counts less often than this.
-constexpr double kImprobable = 1e-4;
-constexpr double kNegligible = 0.5;
-/// Of a route that instances of half of all machines call, so many requests tell that it is inner.
-constexpr double kEnough = 14;
+/// A route counts as internal if external callers would cause its counts with a lower probability.
+constexpr double kMaxProbability = 1e-4;
+/// Lower counts are removed.
+constexpr double kMinCount = 0.5;
+/// Requests that classify a route as external; at least what classifies one that half of all hosts call as internal.
+constexpr double kMinRequests = 14;
 
 }  // namespace
 
 void InternalRouteDetector::onRequest(const std::string& route, const std::string& caller_service) {
-    fade();
+    decay();
     counts_[route][caller_service] += 1;
 }
 
-void InternalRouteDetector::fade() {
-    if (clock_.now() - faded_ < kHalfLife) {
+void InternalRouteDetector::decay() {
+    if (clock_.now() - last_decay_ < kHalfLife) {
         return;
     }
-    faded_ = clock_.now();
+    last_decay_ = clock_.now();
     for (auto& [route, services] : counts_) {
         for (auto& [service, count] : services) {
             count /= 2;
         }
-        std::erase_if(services, [](const auto& entry) { return entry.second < kNegligible; });
+        std::erase_if(services, [](const auto& entry) { return entry.second < kMinCount; });
     }
     std::erase_if(counts_, [](const auto& entry) { return entry.second.empty(); });
 }
 
-bool InternalRouteDetector::isInner(const std::string& route) const {
+bool InternalRouteDetector::isInternal(const std::string& route) const {
     const auto found = counts_.find(route);
     if (found == counts_.end()) {
         return false;
@@ -44,13 +45,13 @@
     double share = 0;
     for (const auto& [service, count] : found->second) {
         total += count;
-        share += share_of_(service);
+        share += host_share_(service);
     }
-    return share < 1 && std::pow(share, total) < kImprobable;
+    return share < 1 && std::pow(share, total) < kMaxProbability;
 }
 
-std::optional<bool> InternalRouteDetector::verdict(const std::string& route) const {
-    if (isInner(route)) {
+std::optional<bool> InternalRouteDetector::classify(const std::string& route) const {
+    if (isInternal(route)) {
         return true;
     }
     double total = 0;
@@ -59,7 +60,7 @@
             total += count;
         }
     }
-    return total >= kEnough ? std::optional(false) : std::nullopt;
+    return total >= kMinRequests ? std::optional(false) : std::nullopt;
 }
 
 }  // namespace dewcrank::relay
--- a/src/relay/internal_route_detector.h
+++ b/src/relay/internal_route_detector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Tells routes that instances call as part of their own runs from routes that callers use.
+/// Tells internal routes, which only instances call, from routes that external callers use.
 #pragma once
 
 #include <functional>
@@ -12,27 +12,28 @@
 
 namespace dewcrank::relay {
 
-/// Counts, by route, beside which services requests began. Callers spread over all machines, so
-/// a route whose requests all begin beside a few services is called by their instances.
+/// Counts the requests of each route by the service on whose hosts they entered. External callers use the entries
+/// of all hosts, so a route whose requests enter only at the hosts of a few services is called by their instances.
 class InternalRouteDetector {
 public:
-    /// Part of the fleet's machines that run a service, from 0 to 1.
-    using ShareOf = std::function<double(const std::string& service)>;
+    /// Share of all hosts that run an instance of the service, from 0 to 1.
+    using HostShare = std::function<double(const std::string& service)>;
 
-    InternalRouteDetector(Clock& clock, ShareOf share_of) : clock_(clock), share_of_(std::move(share_of)) {}
+    InternalRouteDetector(Clock& clock, HostShare host_share) : clock_(clock), host_share_(std::move(host_share)) {}
+    /// Counts a request. @param caller_service service of the instance co-located with the entry node.
     void onRequest(const std::string& route, const std::string& caller_service);
-    /// True if callers spread over all machines would hardly ever give what was counted.
-    [[nodiscard]] bool isInner(const std::string& route) const;
-    /// The same; nothing while too few requests were counted to tell.
-    [[nodiscard]] std::optional<bool> verdict(const std::string& route) const;
+    /// @return true if callers spread over all hosts are very unlikely to cause the counts of this route.
+    [[nodiscard]] bool isInternal(const std::string& route) const;
+    /// @return whether the route is internal; nothing while there are too few requests to tell.
+    [[nodiscard]] std::optional<bool> classify(const std::string& route) const;
 
 private:
-    void fade();
+    void decay();
 
     Clock& clock_;
-    ShareOf share_of_;
-    TimePoint faded_{};
-    std::map<std::string, std::map<std::string, double>> counts_;  ///< By route, then service.
+    HostShare host_share_;
+    TimePoint last_decay_{};
+    std::map<std::string, std::map<std::string, double>> counts_;  ///< Decaying counts by route, then by service.
 };
 
 }  // namespace dewcrank::relay
--- a/src/relay/relay_message.cc
+++ b/src/relay/relay_message.cc
@@ -24,7 +24,7 @@
             return "not-connected";
         case RelayReason::kInstanceRefused:
             return "instance-refused";
-        case RelayReason::kNoWholeAnswer:
+        case RelayReason::kNoCompleteResponse:
             return "no-whole-answer";
         case RelayReason::kRelayLost:
             return "relay-lost";
--- a/src/relay/relay_message.h
+++ b/src/relay/relay_message.h
@@ -1,5 +1,5 @@
 /// @file
-/// What an entry asks a relay for, and what the relay says of it.
+/// Request from an entry node to a relay, and the relay's result.
 #pragma once
 
 #include <cstdint>
@@ -13,42 +13,42 @@
 
 namespace dewcrank::relay {
 
-/// What its entry does with a request that fails at the instance that it was sent to.
+/// When the entry sends a request that failed at one instance to another one.
 enum class RetryPolicy {
     kNever,
-    kIfNotRun,  ///< Another instance is sent it if this one has provably not run it.
-    kAlways,    ///< Another instance is sent it.
+    kIfNotRun,  ///< Only if the first instance provably did not run it.
+    kAlways,    ///< Also if the first instance ran it or may have run it.
 };
 
-/// What an entry node asks a relay for.
+/// A request that an entry node sends to a relay.
 struct RelayRequest {
     HttpRequest request;
-    std::string instance;        ///< The only instance that may run it.
-    bool is_retry = false;       ///< An instance was sent this request before.
-    bool is_retry_paid = false;  ///< The relay at which it failed before has taken the repeat from its own budget.
+    std::string instance;        ///< Id of the only instance that may run it.
+    bool is_retry = false;       ///< It was sent to an instance before.
+    bool is_retry_paid = false;  ///< The retry budget of the relay where it failed has already granted the retry.
     RetryPolicy retry_policy = RetryPolicy::kNever;
-    bool is_counted = false;         ///< Another relay has counted it among its service's requests.
-    bool is_suspect = false;         ///< An instance has ended while it ran this request.
-    bool is_only_candidate = false;  ///< Its entry knows no relay of the service that is not stopping.
-    bool is_last_candidate = false;  ///< No other relay will be asked if this one refuses.
-    std::string route;               ///< Its name in the table.
+    bool is_counted = false;         ///< Another relay has already counted it for its retry budget.
+    bool is_suspect = false;         ///< An instance crashed while it ran this request.
+    bool is_only_candidate = false;  ///< All relays of the service that the entry has a record of are stopping.
+    bool is_last_candidate = false;  ///< The entry tries no further relay if this one rejects it.
+    std::string route;               ///< Name of the route in the table.
     std::uint32_t priority = 0;      ///< 0 is the most urgent.
-    TimePoint deadline{};            ///< The instance must have answered by then.
-    Duration max_wait{};             ///< In the queue; inner calls may wait longer.
-    decision::Lineage lineage;       ///< Taken over from the run that it is a call of.
+    TimePoint deadline{};            ///< Of the response of the instance.
+    Duration max_wait{};             ///< In the queue; internal calls may wait longer.
+    decision::Lineage lineage;       ///< Inherited from the run that makes this call.
 };
 
-/// How a relayed request ended.
+/// What is known about the execution of a relayed request.
 enum class RelayOutcome {
-    kAnswered,
-    kNotRun,   ///< Proved: it was not sent, or the instance has said so.
-    kUnknown,  ///< It was sent, and there is no whole answer.
+    kAnswered,  ///< The instance sent a complete response, successful or not.
+    kNotRun,    ///< Provably not run: it was not sent, or the instance declared so.
+    kUnknown,   ///< It was sent, and there is no complete response.
 };
 
-/// Why a request was not run, or has no answer.
+/// Why a request was not run or has no response.
 enum class RelayReason {
     kNone,
-    kOtherInstance,  ///< The instance asked for is not here any more.
+    kOtherInstance,  ///< The requested instance is no longer at this node.
     kDraining,
     kStopping,
     kRetryBudget,
@@ -56,28 +56,30 @@
     kQueueTimeout,
     kDeadline,
     kNotConnected,
-    kInstanceRefused,  ///< The instance has said that it did not run it.
-    kNoWholeAnswer,
-    kRelayLost,        ///< The relay did not answer the entry.
-    kInstanceCrashed,  ///< The instance has ended while it ran the request.
-    kSuspect,          ///< Instances have ended with it, and another such request is being tried.
-    kQuarantined,      ///< It ends the instances that run it.
-    kSuperseded,       ///< Another node has the relay's address.
+    kInstanceRefused,  ///< The instance declared that it did not run the request.
+    kNoCompleteResponse,
+    kRelayLost,        ///< The relay sent no response to the entry.
+    kInstanceCrashed,  ///< The instance crashed while it ran the request.
+    kSuspect,          ///< The request may crash instances, and could not be tried before its deadline.
+    kQuarantined,      ///< The request crashes the instances that run it.
+    kSuperseded,       ///< Another node uses the relay's address.
 };
+/// @return the text of the reason in responses and logs.
 const char* reasonText(RelayReason reason);
-/// True if a relay that refuses for this reason has counted the request among its service's.
+/// @return whether a relay that rejects a request for this reason has counted it for its retry budget.
 [[nodiscard]] bool countsTowardRetryBudget(RelayReason reason);
 
+/// A relay's result of a request.
 struct RelayResult {
     RelayOutcome outcome = RelayOutcome::kNotRun;
     RelayReason reason = RelayReason::kNone;
-    bool was_sent = false;           ///< An instance has been sent it.
-    bool failed_downstream = false;  ///< The instance answered with a failure, as one of its own calls had failed.
-    bool is_retry_paid = false;      ///< The relay's budget has given the repeat at another instance.
-    HttpAnswer answer;               ///< Only with kAnswered.
-    QueueLoad load;
+    bool was_sent = false;           ///< The request was sent to an instance.
+    bool failed_downstream = false;  ///< The instance responded with a failure after one of its own calls failed.
+    bool is_retry_paid = false;      ///< The relay's retry budget has granted a retry at another instance.
+    HttpAnswer answer;               ///< Valid with kAnswered.
+    QueueLoad load;                  ///< Of the instance; valid if `has_load`.
     bool has_load = false;
-    decision::RouteReport report;  ///< Counts if `has_load`.
+    decision::RouteReport report;  ///< Of the request's route; valid if `has_load`.
 };
 
 }  // namespace dewcrank::relay
--- a/src/relay/relay_retries.h
+++ b/src/relay/relay_retries.h
@@ -1,5 +1,5 @@
 /// @file
-/// A relay's part of its service's repeat budget: which requests count as first ones, and who pays for a repeat.
+/// A relay's part of the retry budget of its service.
 #pragma once
 
 #include <cstddef>
@@ -14,40 +14,40 @@
 
 namespace dewcrank::relay {
 
+/// Counts first attempts and grants retries. The budget allows retries up to a ratio of the first attempts at this
+/// relay, plus this relay's part of a slack that all relays of the service share.
 class RelayRetries {
 public:
-    /// @param graph of the calls that the instance's runs make.
+    /// @param graph of the calls that the instance makes. @param bound limit of the whole service.
     RelayRetries(Clock& clock, const decision::CallGraph& graph, decision::RepeatBound bound);
 
-    /// @param count of relays that take requests of the service. The slack is shared by as many as there were at most
-    /// in the last window: those that have gone may have spent their parts of it, and those that are stopping still do.
+    /// @param count of relays that accept requests of the service. The slack is divided by the maximum over the last
+    /// window, as relays that have gone or are stopping may have spent their parts.
     void setRelayCount(std::size_t count) { relay_count_.set(clock_.now(), count); }
-    /// Each request allows repeats at one relay: counted at every relay that its queue sends it on to, it would
-    /// allow up to three times its share.
+    /// Counts a request unless it is a retry or another relay has counted it, so that each counts once.
     void count(const RelayRequest& request);
-    /// True if a request may be let in: it is no repeat, or is paid for, now by this relay if not before.
-    bool mayRepeat(const RelayRequest& request);
-    /// A request that fails here goes to another instance at the cost of this relay's budget, if there is any: where
-    /// one instance fails, the part of the budget that lies beside it would be of no use, and callers see failures
-    /// while the others' parts are spent.
-    bool paysRepeat(const RelayRequest& request, const RelayResult& result);
+    /// @return whether the request is no retry, or a retry that was granted before or is granted now.
+    bool mayRetry(const RelayRequest& request);
+    /// Grants the retry of a request that failed here from the budget of this relay, so that one failing instance can
+    /// use all of its relay's budget. @return whether it is granted.
+    bool payForRetry(const RelayRequest& request, const RelayResult& result);
 
     [[nodiscard]] const decision::RepeatTotals& totals() const { return budget_.totals(); }
-    [[nodiscard]] decision::RepeatWindow window() { return budget_.window(clock_.now(), sharers()); }
-    /// Requests that came here after another relay had counted them.
-    [[nodiscard]] std::uint64_t countedElsewhere() const { return counted_before_; }
-    /// Relays that share the slack.
-    [[nodiscard]] std::size_t sharers() { return relay_count_.at(clock_.now()); }
+    [[nodiscard]] decision::RepeatWindow window() { return budget_.window(clock_.now(), relayCount()); }
+    /// Total of first attempts that were not counted here, as another relay had counted them.
+    [[nodiscard]] std::uint64_t countedElsewhere() const { return counted_elsewhere_; }
+    /// Number of relays by which the slack is divided.
+    [[nodiscard]] std::size_t relayCount() { return relay_count_.at(clock_.now()); }
 
 private:
-    bool tryRepeat(const std::string& route);
-    [[nodiscard]] double slackShareOf(const std::string& route) const;
+    bool takeFromBudget(const std::string& route);
+    [[nodiscard]] double slackShare(const std::string& route) const;
 
     Clock& clock_;
     const decision::CallGraph& graph_;
     decision::RepeatBudget budget_;
     RecentMaximum relay_count_;
-    std::uint64_t counted_before_ = 0;
+    std::uint64_t counted_elsewhere_ = 0;
 };
 
 }  // namespace dewcrank::relay
--- a/src/relay/relay_service.cc
+++ b/src/relay/relay_service.cc
@@ -10,7 +10,7 @@
 
 RelayService::RelayService(Clock& clock, EventLog& log, BackEndPort& instances, instance::LocalInstance& instance,
                            quarantine::Quarantine& quarantine, const HeaderNames& names, std::string instance_address,
-                           InternalRouteDetector::ShareOf share_of, RelayKnobs knobs)
+                           InternalRouteDetector::HostShare host_share, RelayKnobs knobs)
     : clock_(clock),
       log_(log),
       instances_(instances),
@@ -21,14 +21,14 @@
       knobs_(knobs),
       queue_(clock, knobs.queue),
       trials_(clock, knobs.trials, knobs.trial_gate),
-      crash_watch_(clock, instances, instance_address_, knobs.crash_watch),
+      crash_detector_(clock, instances, instance_address_, knobs.crash_detector),
       runs_(clock, log, quarantine),
-      census_(clock, std::move(share_of)),
+      route_detector_(clock, std::move(host_share)),
       demand_(knobs.demand),
       call_graph_(knobs.call_graph),
-      repeats_(clock, call_graph_, knobs.repeats) {
+      retries_(clock, call_graph_, knobs.repeats) {
     instance_.signalChanged().connect([this] { onInstanceChanged(); });
-    crash_watch_.signalJudged().connect([this](bool has_ended) { onCrashJudged(has_ended); });
+    crash_detector_.signalDecided().connect([this](bool has_crashed) { onCrashDecided(has_crashed); });
 }
 
 RelayService::~RelayService() = default;
@@ -45,124 +45,126 @@
     });
 }
 
-/// Some instances get slower when they are nearly full, which costs more than what is left free.
+/// Some instances slow down when they are nearly full, which costs more throughput than the slots left free.
 std::uint32_t RelayService::limitFor(std::uint32_t slots) const {
-    const std::uint32_t least = slots >= knobs_.least_slots_to_leave_free ? 1 : 0;
-    return slots - std::max(least, slots / knobs_.free_slot_in);
+    const std::uint32_t least = slots >= knobs_.min_slots_for_free_slot ? 1 : 0;
+    return slots - std::max(least, slots / knobs_.slots_per_free_slot);
 }
 
-bool RelayService::takes(const std::string& instance) const {
-    const bool is_there = instance_.record().id() == instance;
-    return instance_.takesCallsFor(instance) || (knobs_.weakening.serves_draining && is_there);
+bool RelayService::accepts(const std::string& instance) const {
+    const bool is_current = instance_.record().id() == instance;
+    return instance_.acceptsCallsFor(instance) || (knobs_.weakening.serves_draining && is_current);
 }
 
-RelayReason RelayService::refusalOf(const Running& running) {
-    const auto& request = running.request;
-    if (is_closed_ || (stops_at_ && !request.is_only_candidate)) {
+RelayReason RelayService::rejectionReason(const Call& call) {
+    const auto& request = call.request;
+    if (is_closed_ || (stop_deadline_ && !request.is_only_candidate)) {
         return RelayReason::kStopping;
     }
-    if (!takes(request.instance)) {
-        const bool is_same = instance_.record().id() == request.instance;
-        return is_same ? RelayReason::kDraining : RelayReason::kOtherInstance;
+    if (!accepts(request.instance)) {
+        const bool is_current = instance_.record().id() == request.instance;
+        return is_current ? RelayReason::kDraining : RelayReason::kOtherInstance;
     }
-    if (quarantine_.standing(running.fingerprint) == quarantine::Standing::kQuarantined) {
+    if (quarantine_.standing(call.fingerprint) == quarantine::Standing::kQuarantined) {
         return RelayReason::kQuarantined;
     }
-    const bool may_repeat = knobs_.weakening.repeats_without_budget || repeats_.mayRepeat(request);
-    return may_repeat ? RelayReason::kNone : RelayReason::kRetryBudget;
+    const bool may_retry = knobs_.weakening.repeats_without_budget || retries_.mayRetry(request);
+    return may_retry ? RelayReason::kNone : RelayReason::kRetryBudget;
 }
 
 RelayService::CallId RelayService::start(RelayRequest request, Callback callback) {
-    const auto number = ++last_number_;
-    auto& running = *(running_[number] = std::make_unique<Running>());
-    running.request = std::move(request);
-    running.id = running.request.request.headers.get(names_.request_id);
-    running.fingerprint = quarantine::fingerprintOf(running.request.request);
-    running.callback = std::move(callback);
-    running.request.deadline = std::min(running.request.deadline, stops_at_.value_or(TimePoint::max()));
-    if (running.request.is_suspect && quarantine_.standing(running.fingerprint) == quarantine::Standing::kClear) {
-        quarantine_.suspect(running.fingerprint);
-        trials_.gate().onInstanceEnded();  // The news of it is still on its way.
-    }
-    if (const auto refusal = refusalOf(running); refusal != RelayReason::kNone) {
-        refuseLater(number, refusal);
-        return number;
-    }
-    repeats_.count(running.request);
-    const bool is_suspect = quarantine_.standing(running.fingerprint) == quarantine::Standing::kSuspect;
-    is_suspect ? enterTrials(number) : enterQueue(number);
-    return number;
+    const auto id = ++last_id_;
+    auto& call = *(calls_[id] = std::make_unique<Call>());
+    call.request = std::move(request);
+    call.request_id = call.request.request.headers.get(names_.request_id);
+    call.fingerprint = quarantine::fingerprintOf(call.request.request);
+    call.callback = std::move(callback);
+    call.request.deadline = std::min(call.request.deadline, stop_deadline_.value_or(TimePoint::max()));
+    if (call.request.is_suspect && quarantine_.standing(call.fingerprint) == quarantine::Standing::kClear) {
+        quarantine_.suspect(call.fingerprint);
+        trials_.gate().onInstanceEnded();  // The request arrived before the notice of the crash.
+    }
+    if (const auto reason = rejectionReason(call); reason != RelayReason::kNone) {
+        rejectLater(id, reason);
+        return id;
+    }
+    retries_.count(call.request);
+    const bool is_suspect = quarantine_.standing(call.fingerprint) == quarantine::Standing::kSuspect;
+    is_suspect ? enterTrials(id) : enterQueue(id);
+    return id;
 }
 
-/// Suspects run one at a time, beside all others: if the instance ends as well, it is known which of them was at
-/// both ends, and a crash costs one more instance, not all that are left.
-void RelayService::enterTrials(CallId number) {
+/// Suspects run one at a time, concurrently with other requests: if the instance crashes, the suspect that was running
+/// is identified as the cause, and the other suspects put no further instances at risk.
+void RelayService::enterTrials(CallId id) {
     const auto now = clock_.now();
-    const auto remaining = running_[number]->request.deadline - now;
-    const auto wait = std::chrono::duration_cast<Duration>(remaining * knobs_.trial_wait_share);
-    trials_.enter(number, now + wait, [this, number](bool may_run) { onTrialDecision(number, may_run); });
+    const auto time_left = calls_[id]->request.deadline - now;
+    const auto wait = std::chrono::duration_cast<Duration>(time_left * knobs_.trial_wait_ratio);
+    trials_.enter(id, now + wait, [this, id](bool may_run) { onTrialDecision(id, may_run); });
 }
 
-/// While it has waited it may have been cleared, by the same request's good end, or quarantined, and the instance
-/// may have gone.
-void RelayService::onTrialDecision(CallId number, bool may_run) {
-    auto& running = *running_[number];
+/// While the suspect waited, a request with the same fingerprint may have completed or been quarantined, and the
+/// instance may have left.
+void RelayService::onTrialDecision(CallId id, bool may_run) {
+    auto& call = *calls_[id];
     if (!may_run) {
-        logPutOff(running);
-        refuseLater(number, RelayReason::kSuspect);
+        logDeferredTrial(call);
+        rejectLater(id, RelayReason::kSuspect);
         return;
     }
-    running.is_trial = true;
-    if (quarantine_.standing(running.fingerprint) == quarantine::Standing::kQuarantined) {
-        refuseLater(number, RelayReason::kQuarantined);
-    } else if (!takes(running.request.instance)) {
-        refuseLater(number, RelayReason::kDraining);
+    call.is_trial = true;
+    if (quarantine_.standing(call.fingerprint) == quarantine::Standing::kQuarantined) {
+        rejectLater(id, RelayReason::kQuarantined);
+    } else if (!accepts(call.request.instance)) {
+        rejectLater(id, RelayReason::kDraining);
     } else {
-        enterQueue(number);
+        enterQueue(id);
     }
 }
 
-void RelayService::logPutOff(const Running& running) {
+/// Logs that a suspect could not run here in time, with the replicas and the load that the gate decided on.
+void RelayService::logDeferredTrial(const Call& call) {
     const auto conditions = trials_.gate().conditions();
     log_.write(Event("trial_put_off")
-                   .with("request", running.id)
-                   .with("fingerprint", quarantine::textOf(running.fingerprint))
+                   .with("request", call.request_id)
+                   .with("fingerprint", quarantine::textOf(call.fingerprint))
                    .with("up", conditions.replicas.up)
                    .with("away", conditions.replicas.away)
                    .with("place", conditions.replicas.place)
                    .with("use", conditions.use));
 }
 
-/// Requests are let in by the time until which they can wait, and by priority. Calls of trees that
-/// have used up a part of their time go before all others. Every inner call may wait for longer than a
-/// caller's request: refused, it would waste what was done for its tree.
-QueueRequest RelayService::placeInQueue(RelayRequest* request) {
+/// Requests are admitted in order of the time until which they can wait, delayed by priority. Internal calls of call
+/// trees that have used a part of their time come first. Internal calls may wait for longer than requests of callers,
+/// as their rejection wastes the work already done for the call tree.
+QueueRequest RelayService::queueRequestFor(RelayRequest* request) {
     const auto now = clock_.now();
-    const auto remaining = request->deadline - now;
-    const bool is_shortened = deadlines_.isShortened(now, request->route, remaining);
-    census_.onRequest(request->route, std::string(request->request.headers.get(names_.caller_service)));
-    const bool is_inner = census_.isInner(request->route);
-    const bool is_continuing = is_inner && is_shortened;
-    if (is_inner) {
-        const auto wait = std::chrono::duration_cast<Duration>(remaining * knobs_.inner_wait_share);
+    const auto time_left = request->deadline - now;
+    const bool is_shortened = deadlines_.isShortened(now, request->route, time_left);
+    route_detector_.onRequest(request->route, std::string(request->request.headers.get(names_.caller_service)));
+    const bool is_internal = route_detector_.isInternal(request->route);
+    const bool is_ongoing = is_internal && is_shortened;
+    if (is_internal) {
+        const auto wait = std::chrono::duration_cast<Duration>(time_left * knobs_.internal_wait_ratio);
         request->max_wait = std::max(request->max_wait, wait);
     }
-    QueueRequest place;
-    place.give_up_at = std::min(request->deadline, now + request->max_wait);
-    place.order = is_continuing ? now : place.give_up_at + knobs_.priority_step * request->priority;
-    return place;
+    QueueRequest queue_request;
+    queue_request.expires_at = std::min(request->deadline, now + request->max_wait);
+    queue_request.virtual_deadline =
+        is_ongoing ? now : queue_request.expires_at + knobs_.priority_step * request->priority;
+    return queue_request;
 }
 
-void RelayService::enterQueue(CallId number) {
-    auto& running = *running_[number];
-    auto& request = running.request;
+void RelayService::enterQueue(CallId id) {
+    auto& call = *calls_[id];
+    auto& request = call.request;
     const auto now = clock_.now();
-    const auto entering = placeInQueue(&request);
-    running.ticket =
-        queue_.enter(entering, [this, number](InstanceQueue::Decision decision) { onDecision(number, decision); });
-    // What another relay may still take is not this instance's demand.
-    const bool is_taken = running.ticket != 0 || running.is_let_in;
-    if (is_taken || request.is_last_candidate) {
+    const auto queue_request = queueRequestFor(&request);
+    call.ticket =
+        queue_.enter(queue_request, [this, id](InstanceQueue::Decision decision) { onQueueDecision(id, decision); });
+    // A rejected request that another relay may still accept does not count as demand for this instance.
+    const bool is_accepted = call.ticket != 0 || call.is_admitted;
+    if (is_accepted || request.is_last_candidate) {
         demand_.onArrival(now, request.route, request.lineage.represents);
     }
 }
@@ -172,242 +174,244 @@
         return {};
     }
     const auto load = queue_.load();
-    return demand_.load(clock_.now(), load.limit, load.mean_time * load.waiting);
+    return demand_.load(clock_.now(), load.limit, load.mean_service_time * load.waiting);
 }
 
-void RelayService::refuseLater(CallId number, RelayReason reason) {
-    running_[number]->refusal = clock_.startTimer(Duration::zero(), [this, number, reason] {
+void RelayService::rejectLater(CallId id, RelayReason reason) {
+    calls_[id]->rejection_timer = clock_.startTimer(Duration::zero(), [this, id, reason] {
         RelayResult result;
         result.reason = reason;
-        finish(number, std::move(result));
+        finish(id, std::move(result));
     });
 }
 
-void RelayService::onDecision(CallId number, InstanceQueue::Decision decision) {
-    auto& running = *running_[number];
-    running.ticket = 0;
-    if (decision != InstanceQueue::Decision::kGo) {
+void RelayService::onQueueDecision(CallId id, InstanceQueue::Decision decision) {
+    auto& call = *calls_[id];
+    call.ticket = 0;
+    if (decision != InstanceQueue::Decision::kAdmitted) {
         const bool is_timeout = decision == InstanceQueue::Decision::kTimedOut;
-        refuseLater(number, is_timeout ? RelayReason::kQueueTimeout : RelayReason::kQueueTooLong);
+        rejectLater(id, is_timeout ? RelayReason::kQueueTimeout : RelayReason::kQueueTooLong);
         return;
     }
-    running.is_let_in = true;
+    call.is_admitted = true;
     demand_.onRunning(clock_.now(), queue_.load().running);
-    if (!takes(running.request.instance)) {
-        refuseLater(number, RelayReason::kDraining);
-    } else if (running.request.deadline - clock_.now() < knobs_.least_remaining) {
-        refuseLater(number, RelayReason::kDeadline);
+    if (!accepts(call.request.instance)) {
+        rejectLater(id, RelayReason::kDraining);
+    } else if (call.request.deadline - clock_.now() < knobs_.min_remaining) {
+        rejectLater(id, RelayReason::kDeadline);
     } else {
-        send(number);
+        send(id);
     }
 }
 
-void RelayService::send(CallId number) {
-    auto& running = *running_[number];
-    auto request = std::move(running.request.request);
-    running.sent = clock_.now();
-    running.life = instance::incarnationName(instance_.record());
-    auto lineage = running.request.lineage;
-    lineage.repeat_share = running.request.is_retry ? 1 : lineage.repeat_share;
-    auto deadline = running.request.deadline;
-    running.run = call_graph_.onRunBegan(running.sent, running.request.route, lineage, &deadline);
-    const auto remaining = deadline - running.sent;
-    runs_.onSent(number, {running.id, running.request.route, running.life, running.fingerprint, running.is_trial});
-    request.headers.set(names_.expected_instance, running.request.instance);
-    request.headers.set(names_.deadline_ms, std::to_string(toMilliseconds(remaining)));
-    running.attempt =
-        instances_.send(instance_address_, std::move(request), remaining,
-                        [this, number](AttemptResult result) { onAttemptEnded(number, std::move(result)); });
+void RelayService::send(CallId id) {
+    auto& call = *calls_[id];
+    auto request = std::move(call.request.request);
+    call.sent_at = clock_.now();
+    call.incarnation = instance::incarnationName(instance_.record());
+    auto lineage = call.request.lineage;
+    lineage.repeat_share = call.request.is_retry ? 1 : lineage.repeat_share;
+    auto deadline = call.request.deadline;
+    call.run = call_graph_.onRunBegan(call.sent_at, call.request.route, lineage, &deadline);
+    const auto time_left = deadline - call.sent_at;
+    runs_.onSent(id, {call.request_id, call.request.route, call.incarnation, call.fingerprint, call.is_trial});
+    request.headers.set(names_.expected_instance, call.request.instance);
+    request.headers.set(names_.deadline_ms, std::to_string(toMilliseconds(time_left)));
+    call.attempt = instances_.send(instance_address_, std::move(request), time_left,
+                                   [this, id](AttemptResult result) { onAttemptEnded(id, std::move(result)); });
 }
 
-/// Where a connection has broken, the instance may have ended: that is found out before the entry is told.
-void RelayService::onAttemptEnded(CallId number, AttemptResult result) {
-    const auto& life = running_[number]->life;
-    if (isConnectionLost(result) && life != ended_life_ && life == instance::incarnationName(instance_.record())) {
-        judged_life_ = life;
-        broken_.push_back({number, std::move(result)});
-        crash_watch_.onBroken(runs_.runningAt(life));
+/// A lost connection may mean that the instance crashed: the result is held back until the crash detector has decided.
+void RelayService::onAttemptEnded(CallId id, AttemptResult result) {
+    const auto& incarnation = calls_[id]->incarnation;
+    if (isConnectionLost(result) && incarnation != crashed_incarnation_ &&
+        incarnation == instance::incarnationName(instance_.record())) {
+        suspected_incarnation_ = incarnation;
+        lost_attempts_.push_back({id, std::move(result)});
+        crash_detector_.onConnectionLost(runs_.runningAt(incarnation));
         return;
     }
     if (isRefused(result)) {
-        crash_watch_.onRefused();
+        crash_detector_.onConnectionRefused();
     }
-    finish(number, judge(*running_[number], std::move(result)));
+    finish(id, resultOf(*calls_[id], std::move(result)));
 }
 
-/// The next life may be there already: the end is that of the one whose connections broke.
-void RelayService::onCrashJudged(bool has_ended) {
-    auto broken = std::exchange(broken_, {});
-    if (has_ended && judged_life_ == instance::incarnationName(instance_.record())) {
-        onInstanceEnded(judged_life_);
-    }
-    for (auto& it : broken) {
-        if (const auto found = running_.find(it.number); found != running_.end()) {
-            runs_.onLost(it.number);
-            finish(it.number, judge(*found->second, std::move(it.result)));
+/// Ignores a crash of an incarnation that has been replaced meanwhile, as onInstanceChanged has handled it.
+void RelayService::onCrashDecided(bool has_crashed) {
+    auto lost_attempts = std::exchange(lost_attempts_, {});
+    if (has_crashed && suspected_incarnation_ == instance::incarnationName(instance_.record())) {
+        onCrash(suspected_incarnation_);
+    }
+    for (auto& it : lost_attempts) {
+        if (const auto found = calls_.find(it.id); found != calls_.end()) {
+            runs_.onLost(it.id);
+            finish(it.id, resultOf(*found->second, std::move(it.result)));
         }
     }
 }
 
-/// Another life in place of one that has not taken its leave: that has ended by itself, even if it broke no connection
-/// (its machine may have lost its power). Where it is known to have started later, no answer of the former can come.
+/// A new incarnation in place of one that did not announce its shutdown means that the previous one crashed, even if no
+/// connection was lost (e.g. by a power failure). If it started later, the previous one can send no more responses.
 void RelayService::onInstanceChanged() {
     const auto& record = instance_.record();
-    const auto life = instance::incarnationName(record);
-    if (life != seen_life_) {
-        const auto former = std::exchange(seen_life_, life);
-        const auto former_born = std::exchange(seen_born_, record.born_ms());
-        if (!is_leaving_ && runs_.holdsAny(former)) {
-            onInstanceEnded(former);
+    const auto incarnation = instance::incarnationName(record);
+    if (incarnation != incarnation_) {
+        const auto previous = std::exchange(incarnation_, incarnation);
+        const auto previous_start_ms = std::exchange(start_ms_, record.born_ms());
+        if (!is_leaving_ && runs_.holdsAny(previous)) {
+            onCrash(previous);
         }
-        if (former_born > 0 && record.born_ms() > former_born) {
-            endRunsOf(former);
+        if (previous_start_ms > 0 && record.born_ms() > previous_start_ms) {
+            failRunsOf(previous);
         }
     }
     is_leaving_ = record.state() == wire::INSTANCE_DRAINING || record.state() == wire::INSTANCE_GONE;
     if (instance_.isReady()) {
-        ended_life_.clear();  // Also if it was this one: its heartbeat says that it lives.
+        crashed_incarnation_.clear();  // Also if it was this incarnation: its heartbeat proves that it is alive.
         queue_.setLimit(limitFor(record.slots()));
     }
 }
 
-void RelayService::onInstanceEnded(const std::string& life) {
-    if (life == ended_life_ || is_leaving_) {
+void RelayService::onCrash(const std::string& incarnation) {
+    if (incarnation == crashed_incarnation_ || is_leaving_) {
         return;
     }
-    ended_life_ = life;
+    crashed_incarnation_ = incarnation;
     trials_.gate().onInstanceEnded();
-    signal_crashed_.emit(runs_.blame(life));
-    if (instance::incarnationName(instance_.record()) == life) {
+    signal_crashed_.emit(runs_.blame(incarnation));
+    if (instance::incarnationName(instance_.record()) == incarnation) {
         instance_.onUnreachable();
     }
 }
 
-/// What became of them nobody will tell: they may have run.
-void RelayService::endRunsOf(const std::string& life) {
-    std::vector<CallId> ended;
-    for (const auto& [number, running] : running_) {
-        if (running->attempt != nullptr && running->life == life) {
-            ended.push_back(number);
+/// Ends the runs of a replaced incarnation with an unknown outcome, since no response can arrive.
+void RelayService::failRunsOf(const std::string& incarnation) {
+    std::vector<CallId> replaced;
+    for (const auto& [id, call] : calls_) {
+        if (call->attempt != nullptr && call->incarnation == incarnation) {
+            replaced.push_back(id);
         }
     }
-    for (const auto number : ended) {
-        if (const auto found = running_.find(number); found != running_.end()) {
+    for (const auto id : replaced) {
+        if (const auto found = calls_.find(id); found != calls_.end()) {
             found->second->attempt.reset();
             AttemptResult lost;
             lost.outcome = AttemptOutcome::kUnknown;
             lost.reason = "next-life";
-            finish(number, judge(*found->second, std::move(lost)));
+            finish(id, resultOf(*found->second, std::move(lost)));
         }
     }
 }
 
-RelayResult RelayService::judge(const Running& running, AttemptResult result) {
+/// Converts the result of an attempt. Logs `instance_failed` if the instance sent no response.
+RelayResult RelayService::resultOf(const Call& call, AttemptResult result) {
     if (result.outcome == AttemptOutcome::kAnswered) {
-        instance_.onAnswered();
-        return judgeAnswer(running, std::move(result.answer));
-    }
-    RelayResult judged;
-    judged.was_sent = result.outcome == AttemptOutcome::kUnknown;
-    judged.outcome = judged.was_sent ? RelayOutcome::kUnknown : RelayOutcome::kNotRun;
-    judged.reason = judged.was_sent ? RelayReason::kNoWholeAnswer : RelayReason::kNotConnected;
-    if (judged.was_sent && running.life == ended_life_) {
-        // Its entry knows of the verdict before the other relays do: sent on, it would end one more.
-        const bool is_convicted = quarantine_.standing(running.fingerprint) == quarantine::Standing::kQuarantined;
-        judged.reason = is_convicted ? RelayReason::kQuarantined : RelayReason::kInstanceCrashed;
-    }
-    if (!judged.was_sent) {
+        instance_.onResponse();
+        return resultOfResponse(call, std::move(result.answer));
+    }
+    RelayResult relayed;
+    relayed.was_sent = result.outcome == AttemptOutcome::kUnknown;
+    relayed.outcome = relayed.was_sent ? RelayOutcome::kUnknown : RelayOutcome::kNotRun;
+    relayed.reason = relayed.was_sent ? RelayReason::kNoCompleteResponse : RelayReason::kNotConnected;
+    if (relayed.was_sent && call.incarnation == crashed_incarnation_) {
+        // Reports the quarantine to the entry, which could retry at a relay that has not received the notice yet.
+        const bool is_quarantined = quarantine_.standing(call.fingerprint) == quarantine::Standing::kQuarantined;
+        relayed.reason = is_quarantined ? RelayReason::kQuarantined : RelayReason::kInstanceCrashed;
+    }
+    if (!relayed.was_sent) {
         instance_.onUnreachable();
     }
     log_.write(Event("instance_failed")
-                   .with("request", running.id)
+                   .with("request", call.request_id)
                    .with("peer", instance_address_)
-                   .with("instance", running.life)
+                   .with("instance", call.incarnation)
                    .with("reason", result.reason)
-                   .with("sent", judged.was_sent ? "yes" : "no")
-                   .with("route", running.request.route)
-                   .with("fingerprint", quarantine::textOf(running.fingerprint)));
-    return judged;
+                   .with("sent", relayed.was_sent ? "yes" : "no")
+                   .with("route", call.request.route)
+                   .with("fingerprint", quarantine::textOf(call.fingerprint)));
+    return relayed;
 }
 
-RelayResult RelayService::judgeAnswer(const Running& running, HttpAnswer answer) {
-    RelayResult judged;
-    judged.was_sent = true;
-    switch (kindOf(answer, running.id, names_, knobs_.weakening.takes_unsigned_answers)) {
+/// Validates a response. Logs `answer_spoiled` if it is not a valid response to this request.
+RelayResult RelayService::resultOfResponse(const Call& call, HttpAnswer response) {
+    RelayResult relayed;
+    relayed.was_sent = true;
+    switch (classifyResponse(response, call.request_id, names_, knobs_.weakening.takes_unsigned_answers)) {
         case ResponseKind::kMisdirected:
-            instance_.onMisdirected(running.request.instance);
+            instance_.onMisdirected(call.request.instance);
             [[fallthrough]];
         case ResponseKind::kNotRun:
-            judged.reason = RelayReason::kInstanceRefused;
-            return judged;
-        case ResponseKind::kSpoiled:
+            relayed.reason = RelayReason::kInstanceRefused;
+            return relayed;
+        case ResponseKind::kInvalid:
             log_.write(Event("answer_spoiled")
-                           .with("request", running.id)
+                           .with("request", call.request_id)
                            .with("peer", instance_address_)
-                           .with("status", answer.status));
-            judged.outcome = RelayOutcome::kUnknown;
-            judged.reason = RelayReason::kNoWholeAnswer;
-            return judged;
-        case ResponseKind::kWhole:
+                           .with("status", response.status));
+            relayed.outcome = RelayOutcome::kUnknown;
+            relayed.reason = RelayReason::kNoCompleteResponse;
+            return relayed;
+        case ResponseKind::kComplete:
             break;
     }
-    removeHopByHopHeaders(answer.headers);
-    judged.outcome = RelayOutcome::kAnswered;
-    judged.failed_downstream =
-        answer.status == kHttpInternalServerError && call_graph_.explainFailure(clock_.now(), running.sent);
-    judged.answer = std::move(answer);
-    return judged;
+    removeHopByHopHeaders(response.headers);
+    relayed.outcome = RelayOutcome::kAnswered;
+    relayed.failed_downstream =
+        response.status == kHttpInternalServerError && call_graph_.explainFailure(clock_.now(), call.sent_at);
+    relayed.answer = std::move(response);
+    return relayed;
 }
 
-void RelayService::onRunEnded(const Running& running, bool is_whole) {
-    if (running.run != 0) {
-        call_graph_.onRunEnded(clock_.now(), running.run, is_whole);
+void RelayService::onRunEnded(const Call& call, bool is_complete) {
+    if (call.run != 0) {
+        call_graph_.onRunEnded(clock_.now(), call.run, is_complete);
     }
 }
 
-void RelayService::finish(CallId number, RelayResult result) {
-    auto ended = running_.extract(number);
-    auto& running = *ended.mapped();
-    runs_.onEnded(number);
+void RelayService::finish(CallId id, RelayResult result) {
+    auto finished = calls_.extract(id);
+    auto& call = *finished.mapped();
+    runs_.onEnded(id);
     const bool is_answered = result.outcome == RelayOutcome::kAnswered;
-    onRunEnded(running, is_answered && isSuccess(result.answer.status));
-    const auto time = is_answered ? clock_.now() - running.sent : Duration::zero();
+    onRunEnded(call, is_answered && isSuccess(result.answer.status));
+    const auto time = is_answered ? clock_.now() - call.sent_at : Duration::zero();
     if (is_answered) {
-        quarantine_.onEndedWell(running.fingerprint);
-        demand_.onAnswered(running.request.route, time);
+        quarantine_.onEndedWell(call.fingerprint);
+        demand_.onAnswered(call.request.route, time);
     }
-    leaveQueues(number, running, time);
-    result.is_retry_paid = repeats_.paysRepeat(running.request, result);
+    leaveQueues(id, call, time);
+    result.is_retry_paid = retries_.payForRetry(call.request, result);
     result.load = queue_.load();
     result.has_load = true;
     result.report.load = serviceLoad();
-    result.report.time = demand_.timeOf(running.request.route);
-    result.report.is_inner = census_.verdict(running.request.route);
-    running.callback(std::move(result));
+    result.report.time = demand_.timeOf(call.request.route);
+    result.report.is_inner = route_detector_.classify(call.request.route);
+    call.callback(std::move(result));
 }
 
-void RelayService::cancel(CallId number) {
-    const auto cancelled = running_.extract(number);
+void RelayService::cancel(CallId id) {
+    const auto cancelled = calls_.extract(id);
     if (cancelled.empty()) {
         return;
     }
-    auto& running = *cancelled.mapped();
-    runs_.onCancelled(number);
-    onRunEnded(running, false);
-    running.attempt.reset();
-    leaveQueues(number, running, Duration::zero());
+    auto& call = *cancelled.mapped();
+    runs_.onCancelled(id);
+    onRunEnded(call, false);
+    call.attempt.reset();
+    leaveQueues(id, call, Duration::zero());
 }
 
-/// @param time that the instance took; zero if it tells nothing.
-void RelayService::leaveQueues(CallId number, const Running& running, Duration time) {
-    if (running.ticket != 0) {
-        queue_.cancel(running.ticket);
+/// @param time of the run at the instance; zero to leave the averages as they are.
+void RelayService::leaveQueues(CallId id, const Call& call, Duration time) {
+    if (call.ticket != 0) {
+        queue_.cancel(call.ticket);
     }
-    if (running.is_let_in) {
+    if (call.is_admitted) {
         queue_.leave(time);
         demand_.onRunning(clock_.now(), queue_.load().running);
     }
-    trials_.end(number, time);
+    trials_.end(id, time);
 }
 
 }  // namespace dewcrank::relay
--- a/src/relay/relay_service.h
+++ b/src/relay/relay_service.h
@@ -1,5 +1,5 @@
 /// @file
-/// The only door to the instance beside a node: queue, repeat budget, one send, checked answer.
+/// Access to the co-located instance: admission queue, retry budget, one attempt, validation of the response.
 #pragma once
 
 #include <sigc++/sigc++.h>
@@ -37,29 +37,23 @@
 /// Constants of a relay.
 struct RelayKnobs {
     QueueKnobs queue;
-    decision::RepeatBound repeats;
-    /// Less time than this left: the request is not sent.
-    Duration least_remaining = 5ms;
-    /// Inner calls may wait for this part of the time that they have left: what was done for
-    /// them would be wasted.
-    double inner_wait_share = 0.6;
-    /// Each step of priority counts like this much longer in the queue.
-    Duration priority_step = 100ms;
-    /// A suspect waits for its turn for this part of the time that it has left: its caller has lost one run
-    /// already, and all that is left is to be tried in time.
-    double trial_wait_share = 0.4;
-    QueueKnobs trials;
+    decision::RepeatBound repeats;     ///< Limit of the retries of the service.
+    Duration min_remaining = 5ms;      ///< A request with less time than this before its deadline is not sent.
+    double internal_wait_ratio = 0.6;  ///< Part of its remaining time for which an internal call may wait.
+    Duration priority_step = 100ms;  ///< Added to the virtual deadline for each step of priority below the most urgent.
+    double trial_wait_ratio = 0.4;   ///< Part of its remaining time for which a suspect may wait for its trial.
+    QueueKnobs trials;               ///< Queue of the suspects.
     quarantine::TrialGateKnobs trial_gate;
-    CrashDetectorKnobs crash_watch;
+    CrashDetectorKnobs crash_detector;
     decision::DemandKnobs demand;
     decision::CallGraphKnobs call_graph;
-    /// One slot in so many is left free, and at least one of an instance with so many slots.
-    std::uint32_t free_slot_in = 16;
-    std::uint32_t least_slots_to_leave_free = 8;
-    Weakening weakening;  ///< Tests only.
+    std::uint32_t slots_per_free_slot = 16;     ///< One slot of this many is left free.
+    std::uint32_t min_slots_for_free_slot = 8;  ///< At least one slot is left free of an instance with this many.
+    Weakening weakening;                        ///< Tests only.
 };
 
-/// Relays requests of this node's callers and of other nodes to the one instance.
+/// Forwards requests from this node and from other nodes to the co-located instance. Rejects what the instance cannot
+/// run in time, grants retries, and detects crashes of the instance.
 class RelayService {
 public:
     using CallId = std::uint64_t;
@@ -67,82 +61,90 @@
 
     RelayService(Clock& clock, EventLog& log, BackEndPort& instances, instance::LocalInstance& instance,
                  quarantine::Quarantine& quarantine, const HeaderNames& names, std::string instance_address,
-                 InternalRouteDetector::ShareOf share_of, RelayKnobs knobs);
+                 InternalRouteDetector::HostShare host_share, RelayKnobs knobs);
     ~RelayService();
     RelayService(const RelayService&) = delete;
     RelayService& operator=(const RelayService&) = delete;
 
-    /// The callback runs once, later on the loop.
+    /// Forwards a request. The callback runs once, from the event loop after this call has returned.
+    /// @return an id for `cancel`.
     CallId start(RelayRequest request, Callback callback);
-    /// Gives a request up; its callback is not called any more.
-    void cancel(CallId number);
-    /// @param path where the instance answers probes.
-    void setProbePath(std::string path) { crash_watch_.setProbePath(std::move(path)); }
-    /// Emitted with what ran when the instance has ended by itself.
+    /// Cancels a call; its callback is not called.
+    void cancel(CallId id);
+    /// @param path of the health endpoint of the instance.
+    void setProbePath(std::string path) { crash_detector_.setProbePath(std::move(path)); }
+    /// Emitted after a crash of the instance with the requests that it was running.
     sigc::signal<void(const quarantine::CrashNotice&)>& signalCrashed() { return signal_crashed_; }
-    /// Only what no other relay can take is let in from now on. @param until runs have to end by then.
-    void stop(TimePoint until) { stops_at_ = until; }
-    /// Nothing further is let in.
+    /// Begins to drain: from now on only requests that no other relay can accept are admitted.
+    /// @param until deadline of their runs.
+    void stop(TimePoint until) { stop_deadline_ = until; }
+    /// Rejects all further requests.
     void close() { is_closed_ = true; }
-    /// @param view of the service's instances, by which suspects are let run.
+    /// @param view returns the current instances of the service; decides with them whether suspects may run here.
     void setReplicaView(const std::function<fleet::Replicas()>& view);
-    /// An instance of the service beside another node has ended by itself.
+    /// An instance of the service at another node has crashed.
     void onRemoteCrash() { trials_.gate().onInstanceEnded(); }
-    /// @param count of relays that take requests of the service now.
-    void setRelayCount(std::size_t count) { repeats_.setRelayCount(count); }
-    [[nodiscard]] std::size_t inFlight() const { return running_.size(); }
+    /// @param count of relays that accept requests of the service.
+    void setRelayCount(std::size_t count) { retries_.setRelayCount(count); }
+    /// Calls that are queued or running.
+    [[nodiscard]] std::size_t inFlight() const { return calls_.size(); }
     [[nodiscard]] QueueLoad load() const { return queue_.load(); }
-    [[nodiscard]] const decision::RepeatTotals& retryTotals() const { return repeats_.totals(); }
-    [[nodiscard]] decision::RepeatWindow retryWindow() { return repeats_.window(); }
-    /// Requests that came here after another relay had counted them.
-    [[nodiscard]] std::uint64_t countedElsewhere() const { return repeats_.countedElsewhere(); }
-    [[nodiscard]] std::size_t retryRelayCount() { return repeats_.sharers(); }
-    /// What the instance is asked for and can give.
+    [[nodiscard]] const decision::RepeatTotals& retryTotals() const { return retries_.totals(); }
+    [[nodiscard]] decision::RepeatWindow retryWindow() { return retries_.window(); }
+    /// Total of first attempts that another relay had already counted for its retry budget.
+    [[nodiscard]] std::uint64_t countedElsewhere() const { return retries_.countedElsewhere(); }
+    /// Number of relays by which the slack of the retry budget is divided.
+    [[nodiscard]] std::size_t retryRelayCount() { return retries_.relayCount(); }
+    /// Demand for the instance and its capacity, in slots; empty while the instance is not ready.
     [[nodiscard]] decision::ServiceLoad serviceLoad();
-    /// The calls that the instance makes, by the routes that it serves.
+    /// Learned calls that the instance makes, by the routes that it serves.
     [[nodiscard]] decision::CallGraph& callGraph() { return call_graph_; }
 
 private:
-    struct Running {
-        RelayRequest request;  ///< Its HTTP request is moved out when it is sent.
-        std::string id;        ///< Of the request.
-        std::string life;      ///< Of the instance that it was sent to.
+    /// A request from its start until its result.
+    struct Call {
+        RelayRequest request;     ///< Without its HTTP request once that is sent.
+        std::string request_id;   ///< From the HTTP request.
+        std::string incarnation;  ///< Name of the incarnation to which it was sent.
         quarantine::Fingerprint fingerprint = 0;
         Callback callback;
-        std::uint64_t ticket = 0;
-        bool is_trial = false;  ///< It is the one suspect that may run.
-        bool is_let_in = false;
-        TimePoint sent{};
-        decision::CallGraph::RunNumber run = 0;  ///< 0 before it was sent.
+        std::uint64_t ticket = 0;  ///< In the queue; 0 if it does not wait there.
+        bool is_trial = false;     ///< It is the one suspect that may run.
+        bool is_admitted = false;  ///< It holds a slot of the instance.
+        TimePoint sent_at{};
+        decision::CallGraph::RunNumber run = 0;  ///< 0 before it is sent.
         AttemptHandle attempt;
-        TimerHandle refusal;
+        TimerHandle rejection_timer;  ///< Delivers a rejection from the event loop.
     };
+    /// @return how many of the slots may be used at once.
     [[nodiscard]] std::uint32_t limitFor(std::uint32_t slots) const;
-    [[nodiscard]] bool takes(const std::string& instance) const;
-    [[nodiscard]] RelayReason refusalOf(const Running& running);
-    QueueRequest placeInQueue(RelayRequest* request);
-    void enterTrials(CallId number);
-    void onTrialDecision(CallId number, bool may_run);
-    void logPutOff(const Running& running);
-    void enterQueue(CallId number);
-    void refuseLater(CallId number, RelayReason reason);
-    void onDecision(CallId number, InstanceQueue::Decision decision);
-    void send(CallId number);
-    void onAttemptEnded(CallId number, AttemptResult result);
-    /// An attempt whose connection broke; whether the instance has ended is being found out.
-    struct Broken {
-        CallId number = 0;
+    /// @return whether calls for this instance id may be sent.
+    [[nodiscard]] bool accepts(const std::string& instance) const;
+    /// Takes a retry from the budget if the call is one. @return kNone if the call may proceed.
+    [[nodiscard]] RelayReason rejectionReason(const Call& call);
+    QueueRequest queueRequestFor(RelayRequest* request);
+    void enterTrials(CallId id);
+    void onTrialDecision(CallId id, bool may_run);
+    void logDeferredTrial(const Call& call);
+    void enterQueue(CallId id);
+    void rejectLater(CallId id, RelayReason reason);
+    void onQueueDecision(CallId id, InstanceQueue::Decision decision);
+    void send(CallId id);
+    void onAttemptEnded(CallId id, AttemptResult result);
+    /// An attempt whose connection was lost; its result waits for the decision of the crash detector.
+    struct LostAttempt {
+        CallId id = 0;
         AttemptResult result;
     };
     void onInstanceChanged();
-    void onCrashJudged(bool has_ended);
-    void onInstanceEnded(const std::string& life);
-    void endRunsOf(const std::string& life);
-    RelayResult judge(const Running& running, AttemptResult result);
-    RelayResult judgeAnswer(const Running& running, HttpAnswer answer);
-    void onRunEnded(const Running& running, bool is_whole);
-    void finish(CallId number, RelayResult result);
-    void leaveQueues(CallId number, const Running& running, Duration time);
+    void onCrashDecided(bool has_crashed);
+    void onCrash(const std::string& incarnation);
+    void failRunsOf(const std::string& incarnation);
+    RelayResult resultOf(const Call& call, AttemptResult result);
+    RelayResult resultOfResponse(const Call& call, HttpAnswer response);
+    void onRunEnded(const Call& call, bool is_complete);
+    void finish(CallId id, RelayResult result);
+    void leaveQueues(CallId id, const Call& call, Duration time);
 
     Clock& clock_;
     EventLog& log_;
@@ -154,25 +156,24 @@
     RelayKnobs knobs_;
     InstanceQueue queue_;
     SuspectTrials trials_;
-    CrashDetector crash_watch_;
+    CrashDetector crash_detector_;
     quarantine::RunLedger runs_;
-    std::vector<Broken> broken_;  ///< Until the watch has judged.
-    // Lives of the instance, by name:
-    std::string seen_life_;        ///< Whose runs are counted as lost if another one comes without its leave;
-    std::uint64_t seen_born_ = 0;  ///< its start.
-    std::string judged_life_;      ///< Whose connections have broken, while that is being judged.
-    std::string ended_life_;       ///< The last one that was found to have ended by itself.
-    bool is_leaving_ = false;      ///< The one seen has said so.
+    std::vector<LostAttempt> lost_attempts_;  ///< Until the crash detector has decided.
+    std::string incarnation_;                 ///< Name of the current incarnation.
+    std::uint64_t start_ms_ = 0;              ///< Start time of the current incarnation; 0 if unknown.
+    std::string suspected_incarnation_;       ///< Incarnation that lost connections; the crash detector decides on it.
+    std::string crashed_incarnation_;  ///< Incarnation that crashed last; empty once the instance is ready again.
+    bool is_leaving_ = false;          ///< The current incarnation has announced its shutdown.
     sigc::signal<void(const quarantine::CrashNotice&)> signal_crashed_;
-    InternalRouteDetector census_;
+    InternalRouteDetector route_detector_;
     decision::InstanceDemand demand_;
     decision::CallGraph call_graph_;
-    RelayRetries repeats_;
+    RelayRetries retries_;
     decision::UsualDeadlines deadlines_;
-    std::optional<TimePoint> stops_at_;
+    std::optional<TimePoint> stop_deadline_;
     bool is_closed_ = false;
-    CallId last_number_ = 0;
-    std::map<CallId, std::unique_ptr<Running>> running_;
+    CallId last_id_ = 0;
+    std::map<CallId, std::unique_ptr<Call>> calls_;
 };
 
 }  // namespace dewcrank::relay
--- a/src/relay/relay_wire.cc
+++ b/src/relay/relay_wire.cc
@@ -9,29 +9,27 @@
 
 namespace {
 
-/// Of a request: sender, its table's version, instance, route, priority, is a repeat, is the last
-/// choice, microseconds left, microseconds that it may wait, repeat share and requests represented in
-/// thousandths, has been counted, is suspected, what is done if it fails, has had its repeat paid, is the
-/// only choice.
-constexpr std::string_view kCall = "dewcrank-relay-call";
-/// Of an answer: sender, its table's version, outcome, reason, was offered, running, waiting, limit,
-/// mean time in microseconds, is inner, demand, capacity and busy of
-/// the instance in thousandths of a slot, time of the route in microseconds, bottleneck below, its level in thousandths
-/// and cost in microseconds, failed below, age of the sender's table in microseconds and one, or 0, has paid the
-/// repeat.
-constexpr std::string_view kResult = "dewcrank-relay-result";
-constexpr double kPermille = 1000;
-/// Whether a route is called by instances, as far as the relay has seen.
-constexpr std::int64_t kNotInner = 0;
-constexpr std::int64_t kInner = 1;
-constexpr std::int64_t kNotKnown = 2;
-
-std::int64_t inThousandths(double value) {
-    return static_cast<std::int64_t>(value * kPermille);
+/// Header of a request. Fields: name and table version of the sender, instance, route, priority, is_retry,
+/// is_last_candidate, remaining time and max_wait in microseconds, retry probability and demand weight in thousandths,
+/// is_counted, is_suspect, retry policy, is_retry_paid, is_only_candidate.
+constexpr std::string_view kRequestHeader = "dewcrank-relay-call";
+/// Header of a response. Fields: name and table version of the sender, outcome, reason, was_sent, running, waiting,
+/// limit, mean service time in microseconds, kind of the route, demand, capacity and busy slots in thousandths, slot
+/// time of the route in microseconds, bottleneck of its calls, admission ratio of that in thousandths and cost in
+/// microseconds, failed_downstream, 0 or the age of the sender's table in microseconds plus one, is_retry_paid.
+constexpr std::string_view kResultHeader = "dewcrank-relay-result";
+constexpr double kThousand = 1000;
+/// Kind of a route: whether external callers or only instances call it, or not enough requests to tell.
+constexpr std::int64_t kExternal = 0;
+constexpr std::int64_t kInternal = 1;
+constexpr std::int64_t kUnclassified = 2;
+
+std::int64_t toThousandths(double value) {
+    return static_cast<std::int64_t>(value * kThousand);
 }
 
 double fromThousandths(std::int64_t number) {
-    return static_cast<double>(number) / kPermille;
+    return static_cast<double>(number) / kThousand;
 }
 
 RelayPeer readPeer(FieldReader* fields) {
@@ -46,7 +44,7 @@
 }
 
 void write(FieldWriter* fields, const QueueLoad& load) {
-    fields->add(load.running).add(load.waiting).add(load.limit).add(load.mean_time.count());
+    fields->add(load.running).add(load.waiting).add(load.limit).add(load.mean_service_time.count());
 }
 
 QueueLoad readLoad(FieldReader* fields) {
@@ -54,21 +52,21 @@
     load.running = static_cast<std::uint32_t>(fields->number());
     load.waiting = static_cast<std::uint32_t>(fields->number());
     load.limit = static_cast<std::uint32_t>(fields->number());
-    load.mean_time = Duration(fields->number());
+    load.mean_service_time = Duration(fields->number());
     return load;
 }
 
 void write(FieldWriter* fields, const decision::RouteReport& report) {
-    fields->add(report.is_inner ? (*report.is_inner ? kInner : kNotInner) : kNotKnown);
-    fields->add(inThousandths(report.load.demand)).add(inThousandths(report.load.capacity));
-    fields->add(inThousandths(report.load.busy)).add(report.time.count());
-    fields->add(report.below.service).add(inThousandths(report.below.level)).add(report.below.cost.count());
+    fields->add(report.is_inner ? (*report.is_inner ? kInternal : kExternal) : kUnclassified);
+    fields->add(toThousandths(report.load.demand)).add(toThousandths(report.load.capacity));
+    fields->add(toThousandths(report.load.busy)).add(report.time.count());
+    fields->add(report.below.service).add(toThousandths(report.below.level)).add(report.below.cost.count());
 }
 
 decision::RouteReport readReport(FieldReader* fields) {
     decision::RouteReport report;
-    const auto inner = fields->number();
-    report.is_inner = inner == kNotKnown ? std::nullopt : std::optional(inner == kInner);
+    const auto route_kind = fields->number();
+    report.is_inner = route_kind == kUnclassified ? std::nullopt : std::optional(route_kind == kInternal);
     report.load.demand = fromThousandths(fields->number());
     report.load.capacity = fromThousandths(fields->number());
     report.load.busy = fromThousandths(fields->number());
@@ -79,13 +77,13 @@
     return report;
 }
 
-/// What another version may send in place of what is known reads as the least that can be said.
-RelayOutcome outcomeOf(std::int64_t number) {
+/// A value of a newer version that is not known here reads as the most conservative one.
+RelayOutcome toOutcome(std::int64_t number) {
     const bool is_known = number >= 0 && number <= static_cast<std::int64_t>(RelayOutcome::kUnknown);
     return is_known ? static_cast<RelayOutcome>(number) : RelayOutcome::kUnknown;
 }
 
-RetryPolicy failurePlanOf(std::int64_t number) {
+RetryPolicy toRetryPolicy(std::int64_t number) {
     const bool is_known = number >= 0 && number <= static_cast<std::int64_t>(RetryPolicy::kAlways);
     return is_known ? static_cast<RetryPolicy>(number) : RetryPolicy::kNever;
 }
@@ -98,20 +96,20 @@
     fields.add(request.instance).add(request.route).add(request.priority);
     fields.add(request.is_retry ? 1 : 0).add(request.is_last_candidate ? 1 : 0);
     fields.add((request.deadline - now).count()).add(request.max_wait.count());
-    fields.add(inThousandths(request.lineage.repeat_share)).add(inThousandths(request.lineage.represents));
+    fields.add(toThousandths(request.lineage.repeat_share)).add(toThousandths(request.lineage.represents));
     fields.add(request.is_counted ? 1 : 0).add(request.is_suspect ? 1 : 0);
     fields.add(static_cast<std::int64_t>(request.retry_policy)).add(request.is_retry_paid ? 1 : 0);
     fields.add(request.is_only_candidate ? 1 : 0);
     auto message = std::move(request.request);
-    message.headers.set(kCall, fields.take());
+    message.headers.set(kRequestHeader, fields.take());
     return message;
 }
 
 std::optional<ReceivedRequest> fromHttp(HttpRequest request, TimePoint now) {
-    if (!request.headers.has(kCall)) {
+    if (!request.headers.has(kRequestHeader)) {
         return std::nullopt;
     }
-    FieldReader fields(request.headers.get(kCall));
+    FieldReader fields(request.headers.get(kRequestHeader));
     ReceivedRequest received;
     received.sender = readPeer(&fields);
     auto& relayed = received.request;
@@ -126,7 +124,7 @@
     relayed.lineage.represents = std::max(1.0, fromThousandths(fields.number()));
     relayed.is_counted = fields.number() != 0;
     relayed.is_suspect = fields.number() != 0;
-    relayed.retry_policy = failurePlanOf(fields.number());
+    relayed.retry_policy = toRetryPolicy(fields.number());
     relayed.is_retry_paid = fields.number() != 0;
     relayed.is_only_candidate = fields.number() != 0;
     request.headers.removePrefix(kRelayHeaderPrefix);
@@ -144,27 +142,27 @@
     fields.add(result.failed_downstream ? 1 : 0);
     fields.add(sender.table_age ? sender.table_age->count() + 1 : 0);
     fields.add(result.is_retry_paid ? 1 : 0);
-    auto answer = std::move(result.answer);
+    auto response = std::move(result.answer);
     if (result.outcome != RelayOutcome::kAnswered) {
-        answer.status = kHttpOk;
+        response.status = kHttpOk;
     }
-    answer.headers.removePrefix(kRelayHeaderPrefix);
-    answer.headers.add(std::string(kResult), fields.take());
-    return answer;
+    response.headers.removePrefix(kRelayHeaderPrefix);
+    response.headers.add(std::string(kResultHeader), fields.take());
+    return response;
 }
 
-ReceivedResult fromHttp(HttpAnswer answer) {
+ReceivedResult fromHttp(HttpAnswer response) {
     ReceivedResult received;
     auto& result = received.result;
-    if (!answer.headers.has(kResult)) {
+    if (!response.headers.has(kResultHeader)) {
         result.outcome = RelayOutcome::kUnknown;
         result.reason = RelayReason::kRelayLost;
         result.was_sent = true;
         return received;
     }
-    FieldReader fields(answer.headers.get(kResult));
+    FieldReader fields(response.headers.get(kResultHeader));
     received.sender = readPeer(&fields);
-    result.outcome = outcomeOf(fields.number());
+    result.outcome = toOutcome(fields.number());
     result.reason = static_cast<RelayReason>(fields.number());
     result.was_sent = fields.number() != 0;
     result.load = readLoad(&fields);
@@ -175,8 +173,8 @@
         received.sender.table_age = Duration(age - 1);
     }
     result.is_retry_paid = fields.number() != 0;
-    answer.headers.removePrefix(kRelayHeaderPrefix);
-    result.answer = std::move(answer);
+    response.headers.removePrefix(kRelayHeaderPrefix);
+    result.answer = std::move(response);
     return received;
 }
 
--- a/src/relay/relay_wire.h
+++ b/src/relay/relay_wire.h
@@ -1,6 +1,6 @@
 /// @file
-/// A relayed request and its result as HTTP between nodes: the caller's own request with one header
-/// added, and the instance's own answer with one header added.
+/// HTTP form of relayed requests and results: the request of the caller and the response of the instance, each with
+/// one more header that holds a list of fields.
 #pragma once
 
 #include <cstdint>
@@ -11,33 +11,34 @@
 
 namespace dewcrank::relay {
 
-/// Prefix of the headers between nodes; callers' headers of that prefix are dropped.
+/// Prefix of the headers between nodes; headers of callers with this prefix are removed.
 inline constexpr std::string_view kRelayHeaderPrefix = "dewcrank-relay-";
 
-/// Who sends a relayed message, and which table it goes by.
+/// Sender of a relayed message, and the table that it uses.
 struct RelayPeer {
-    std::string name;
+    std::string name;  ///< Of the node.
     std::uint64_t table_version = 0;
-    std::optional<Duration> table_age{};  ///< In an answer: so long ago that table was known to be the newest.
+    std::optional<Duration> table_age{};  ///< Time since the table was confirmed as the newest; in responses only.
 };
 
-/// A request as it was received, and who sent it.
+/// A request and its sender.
 struct ReceivedRequest {
     RelayPeer sender;
     RelayRequest request;
 };
 
-/// A result as it was received, and who sent it; the sender is empty if no relay has marked it.
+/// A result and its sender, which is empty if the response has no relay header.
 struct ReceivedResult {
     RelayPeer sender;
     RelayResult result;
 };
 
+/// @param now time from which the deadline is sent as a remaining duration.
 HttpRequest toHttp(RelayRequest request, const RelayPeer& sender, TimePoint now);
-/// Nothing if the request is not a relayed one.
+/// @return nothing if the request has no relay header.
 std::optional<ReceivedRequest> fromHttp(HttpRequest request, TimePoint now);
 HttpAnswer toHttp(RelayResult result, const RelayPeer& sender);
-/// An answer that no relay has marked is kUnknown.
-ReceivedResult fromHttp(HttpAnswer answer);
+/// @return outcome kUnknown and reason kRelayLost if the response has no relay header.
+ReceivedResult fromHttp(HttpAnswer response);
 
 }  // namespace dewcrank::relay
--- a/src/relay/response_kind.cc
+++ b/src/relay/response_kind.cc
@@ -9,29 +9,30 @@
 
 namespace {
 
-/// Statuses that promise that a request was not run.
-constexpr std::array<int, 4> kPromises = {kHttpRequestTimeout, kHttpMisdirected, kHttpTooManyRequests,
-                                          kHttpServiceUnavailable};
+/// Failure statuses that are valid only together with the header that declares a request as not run.
+constexpr std::array<int, 4> kNotRunStatuses = {kHttpRequestTimeout, kHttpMisdirected, kHttpTooManyRequests,
+                                                kHttpServiceUnavailable};
 
-bool promisesNotRun(int status) {
-    return std::find(kPromises.begin(), kPromises.end(), status) != kPromises.end();
+bool impliesNotRun(int status) {
+    return std::find(kNotRunStatuses.begin(), kNotRunStatuses.end(), status) != kNotRunStatuses.end();
 }
 
 }  // namespace
 
-ResponseKind kindOf(const HttpAnswer& answer, const std::string& request, const HeaderNames& names,
-                    bool takes_unsigned) {
-    if (answer.status == kHttpMisdirected) {
+ResponseKind classifyResponse(const HttpAnswer& response, const std::string& request, const HeaderNames& names,
+                              bool accepts_unsigned) {
+    if (response.status == kHttpMisdirected) {
         return ResponseKind::kMisdirected;
     }
-    if (answer.headers.has(names.not_executed)) {
+    if (response.headers.has(names.not_executed)) {
         return ResponseKind::kNotRun;
     }
-    const bool is_own = answer.headers.get(names.request_id) == request;
+    const bool matches_request = response.headers.get(names.request_id) == request;
     const bool is_signed =
-        takes_unsigned || (answer.headers.has(names.server_stamp) && !answer.headers.has("content-encoding"));
-    const bool is_whole = isSuccess(answer.status) ? is_own && is_signed : !promisesNotRun(answer.status);
-    return is_whole ? ResponseKind::kWhole : ResponseKind::kSpoiled;
+        accepts_unsigned || (response.headers.has(names.server_stamp) && !response.headers.has("content-encoding"));
+    const bool is_complete =
+        isSuccess(response.status) ? matches_request && is_signed : !impliesNotRun(response.status);
+    return is_complete ? ResponseKind::kComplete : ResponseKind::kInvalid;
 }
 
 }  // namespace dewcrank::relay
--- a/src/relay/response_kind.h
+++ b/src/relay/response_kind.h
@@ -1,5 +1,5 @@
 /// @file
-/// What an instance's message says about the request that it was sent.
+/// Classifies what an instance sent back for a request.
 #pragma once
 
 #include <string>
@@ -9,16 +9,17 @@
 
 namespace dewcrank::relay {
 
+/// What a message of an instance proves about the request.
 enum class ResponseKind {
-    kWhole,        ///< The request's own answer, be it a failure.
-    kNotRun,       ///< The instance says that it did not run it.
-    kMisdirected,  ///< The same, as another instance than the one asked for is there.
-    kSpoiled,      ///< No answer, or not this request's.
+    kComplete,     ///< The response of this request, successful or not.
+    kNotRun,       ///< The instance declares that it did not run the request.
+    kMisdirected,  ///< As kNotRun, because another instance than the expected one listens at the address.
+    kInvalid,      ///< Not a valid response to this request: it may have run.
 };
 
-/// @param request id of the request. @param takes_unsigned tests only: a success without the instance's signature
-/// is an answer.
-[[nodiscard]] ResponseKind kindOf(const HttpAnswer& answer, const std::string& request, const HeaderNames& names,
-                                  bool takes_unsigned);
+/// @param request id of the request, which a successful response repeats.
+/// @param accepts_unsigned tests only: accepts a success without the server stamp of the instance.
+[[nodiscard]] ResponseKind classifyResponse(const HttpAnswer& response, const std::string& request,
+                                            const HeaderNames& names, bool accepts_unsigned);
 
 }  // namespace dewcrank::relay
--- a/src/relay/suspect_trials.cc
+++ b/src/relay/suspect_trials.cc
@@ -5,62 +5,62 @@
 namespace dewcrank::relay {
 
 SuspectTrials::SuspectTrials(Clock& clock, QueueKnobs queue, quarantine::TrialGateKnobs gate)
-    : clock_(clock), turns_(clock, queue), gate_(clock, gate) {
-    turns_.setLimit(1);
+    : clock_(clock), queue_(clock, queue), gate_(clock, gate) {
+    queue_.setLimit(1);
 }
 
-void SuspectTrials::enter(CallId number, TimePoint give_up_at, Callback callback) {
-    auto& trial = trials_[number];
-    trial.give_up_at = give_up_at;
+void SuspectTrials::enter(CallId id, TimePoint expires_at, Callback callback) {
+    auto& trial = trials_[id];
+    trial.expires_at = expires_at;
     trial.callback = std::move(callback);
     const auto now = clock_.now();
     const auto wait = gate_.wait();
-    if (!wait || now + *wait > give_up_at) {
-        decide(number, false);
+    if (!wait || now + *wait > expires_at) {
+        decide(id, false);
         return;
     }
-    const auto ticket =
-        turns_.enter({now, give_up_at}, [this, number](InstanceQueue::Decision decision) { onTurn(number, decision); });
-    if (const auto found = trials_.find(number); found != trials_.end()) {
+    const auto ticket = queue_.enter({now, expires_at},
+                                     [this, id](InstanceQueue::Decision decision) { onQueueDecision(id, decision); });
+    if (const auto found = trials_.find(id); found != trials_.end()) {
         found->second.ticket = ticket;
     }
 }
 
-void SuspectTrials::onTurn(CallId number, InstanceQueue::Decision decision) {
-    auto& trial = trials_.at(number);
+void SuspectTrials::onQueueDecision(CallId id, InstanceQueue::Decision decision) {
+    auto& trial = trials_.at(id);
     trial.ticket = 0;
-    trial.has_turn = decision == InstanceQueue::Decision::kGo;
-    trial.has_turn ? askGate(number) : decide(number, false);
+    trial.has_slot = decision == InstanceQueue::Decision::kAdmitted;
+    trial.has_slot ? checkGate(id) : decide(id, false);
 }
 
-/// Instances may have ended while it has waited for its turn.
-void SuspectTrials::askGate(CallId number) {
-    auto& trial = trials_.at(number);
+/// Instances may have crashed while the suspect waited in the queue, so the gate is checked again.
+void SuspectTrials::checkGate(CallId id) {
+    auto& trial = trials_.at(id);
     const auto wait = gate_.wait();
     if (wait == Duration::zero()) {
-        decide(number, true);
-    } else if (!wait || clock_.now() + *wait > trial.give_up_at) {
-        decide(number, false);
+        decide(id, true);
+    } else if (!wait || clock_.now() + *wait > trial.expires_at) {
+        decide(id, false);
     } else {
-        trial.timer = clock_.startTimer(*wait, [this, number] { askGate(number); });
+        trial.timer = clock_.startTimer(*wait, [this, id] { checkGate(id); });
     }
 }
 
-void SuspectTrials::decide(CallId number, bool may_run) {
-    const auto callback = std::exchange(trials_.at(number).callback, nullptr);
+void SuspectTrials::decide(CallId id, bool may_run) {
+    const auto callback = std::exchange(trials_.at(id).callback, nullptr);
     callback(may_run);
 }
 
-void SuspectTrials::end(CallId number, Duration time) {
-    const auto ended = trials_.extract(number);
-    if (ended.empty()) {
+void SuspectTrials::end(CallId id, Duration time) {
+    const auto finished = trials_.extract(id);
+    if (finished.empty()) {
         return;
     }
-    if (ended.mapped().ticket != 0) {
-        turns_.cancel(ended.mapped().ticket);
+    if (finished.mapped().ticket != 0) {
+        queue_.cancel(finished.mapped().ticket);
     }
-    if (ended.mapped().has_turn) {
-        turns_.leave(time);
+    if (finished.mapped().has_slot) {
+        queue_.leave(time);
     }
 }
 
--- a/src/relay/suspect_trials.h
+++ b/src/relay/suspect_trials.h
@@ -1,5 +1,5 @@
 /// @file
-/// Lets suspects run one at a time, beside all other requests of a relay, and only while its gate lets them.
+/// Serializes the runs of suspects: requests that may have crashed an instance.
 #pragma once
 
 #include <cstdint>
@@ -12,36 +12,37 @@
 
 namespace dewcrank::relay {
 
-/// Knows suspects by the numbers of their requests.
+/// Runs at most one suspect at a time, and only while the gate allows that an instance is put at risk. Other requests
+/// do not pass through it. Suspects are identified by the ids of their calls.
 class SuspectTrials {
 public:
     using CallId = std::uint64_t;
-    /// Told once, perhaps at once, whether the suspect may run now.
+    /// Called once, possibly from within `enter`, with whether the suspect may run now.
     using Callback = std::function<void(bool may_run)>;
 
     SuspectTrials(Clock& clock, QueueKnobs queue, quarantine::TrialGateKnobs gate);
 
-    /// @param give_up_at it is refused then, or as soon as it is known that it cannot run before.
-    void enter(CallId number, TimePoint give_up_at, Callback callback);
-    /// It has ended, is refused or has been cancelled; others may run. Does nothing for a request that is no suspect.
-    /// @param time that its run took; zero if it tells nothing.
-    void end(CallId number, Duration time);
+    /// Queues a suspect. @param expires_at time at which it is rejected, or earlier if it cannot run before then.
+    void enter(CallId id, TimePoint expires_at, Callback callback);
+    /// The suspect has completed, was rejected or was cancelled: the next one may run. Ignores ids of other requests.
+    /// @param time of its run; zero to leave the average run time as it is.
+    void end(CallId id, Duration time);
     [[nodiscard]] quarantine::TrialGate& gate() { return gate_; }
 
 private:
     struct Trial {
-        TimePoint give_up_at{};
+        TimePoint expires_at{};
         Callback callback;
-        std::uint64_t ticket = 0;  ///< While it waits for its turn.
-        bool has_turn = false;
-        TimerHandle timer;  ///< While it has its turn and waits for the gate.
+        std::uint64_t ticket = 0;  ///< In the queue; 0 if it does not wait there.
+        bool has_slot = false;     ///< It holds the only slot; the gate may still delay it.
+        TimerHandle timer;         ///< Until the gate is checked again.
     };
-    void onTurn(CallId number, InstanceQueue::Decision decision);
-    void askGate(CallId number);
-    void decide(CallId number, bool may_run);
+    void onQueueDecision(CallId id, InstanceQueue::Decision decision);
+    void checkGate(CallId id);
+    void decide(CallId id, bool may_run);
 
     Clock& clock_;
-    InstanceQueue turns_;
+    InstanceQueue queue_;
     quarantine::TrialGate gate_;
     std::map<CallId, Trial> trials_;
 };
--- a/tests/unit/relay/crash_detector_test.cc
+++ b/tests/unit/relay/crash_detector_test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Ends each probe as it is told, after a millisecond.
+/// Ends each probe with the result `next`: timeouts after their time, all others after a millisecond.
 class ScriptedInstance : public BackEndPort {
 public:
     explicit ScriptedInstance(Clock& clock) : clock_(clock) {}
@@ -31,68 +31,73 @@
     Clock& clock_;
 };
 
-struct WatchFixture {
-    WatchFixture() {
-        watch.signalJudged().connect([this](bool has_ended) { judged.push_back(has_ended); });
+struct DetectorFixture {
+    DetectorFixture() {
+        detector.signalDecided().connect([this](bool has_crashed) { decisions.push_back(has_crashed); });
     }
-    /// @return the verdict on a burst.
-    bool judgeBurst(std::size_t running, int broken) {
-        for (int count = 0; count < broken; ++count) {
-            watch.onBroken(running);
+    /// Reports a burst of lost connections. @return the decision on it.
+    bool decideBurst(std::size_t running, int lost) {
+        for (int count = 0; count < lost; ++count) {
+            detector.onConnectionLost(running);
         }
         time.advance(1s);
-        BOOST_REQUIRE(judged.size() == 1U);
-        const bool verdict = judged[0];
-        judged.clear();
-        return verdict;
+        BOOST_REQUIRE(decisions.size() == 1U);
+        const bool decision = decisions[0];
+        decisions.clear();
+        return decision;
     }
 
     tests::VirtualTime time;
     ScriptedInstance instance{time.clock};
-    relay::CrashDetector watch{time.clock, instance, "i:1", {}};
-    std::vector<bool> judged;
+    relay::CrashDetector detector{time.clock, instance, "i:1", {}};
+    std::vector<bool> decisions;
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(unit_relay_crash_watch, WatchFixture)
+BOOST_FIXTURE_TEST_SUITE(unit_relay_crash_detector, DetectorFixture)
 
-/// What breaks connections, and whether the instance has ended.
-BOOST_AUTO_TEST_CASE(an_end_is_told_from_what_looks_like_it) {
+/// Guards against missed crashes, and against lost connections that are taken for a crash.
+BOOST_AUTO_TEST_CASE(a_crash_is_told_from_other_causes_of_lost_connections) {
     const struct {
         const char* name;
         std::size_t running;
-        int broken;
+        int lost;
         AttemptResult probe;
-        bool has_ended;
+        bool has_crashed;
         int probes;
     } cases[] = {
-        {"it has ended", 20, 20, {AttemptOutcome::kNotSent, {}, "connect-failed"}, true, 1},
-        {"it has ended with its only run", 1, 1, {AttemptOutcome::kNotSent, {}, "connect-failed"}, true, 1},
-        {"what holds its address closes", 3, 3, {AttemptOutcome::kUnknown, {}, "connection-closed"}, true, 3},
-        {"one answer is lost", 20, 1, {AttemptOutcome::kNotSent, {}, "connect-failed"}, false, 0},
-        {"its only answer is lost", 1, 1, {AttemptOutcome::kAnswered, {}, ""}, false, 1},
+        {"crashed", 20, 20, {AttemptOutcome::kNotSent, {}, "connect-failed"}, true, 1},
+        {"crashed with its only run", 1, 1, {AttemptOutcome::kNotSent, {}, "connect-failed"}, true, 1},
+        {"crashed behind a proxy that closes connections",
+         3,
+         3,
+         {AttemptOutcome::kUnknown, {}, "connection-closed"},
+         true,
+         3},
+        {"one response is lost", 20, 1, {AttemptOutcome::kNotSent, {}, "connect-failed"}, false, 0},
+        {"its only response is lost", 1, 1, {AttemptOutcome::kAnswered, {}, ""}, false, 1},
         {"half of its connections are reset", 20, 10, {AttemptOutcome::kAnswered, {}, ""}, false, 1},
-        {"it is frozen", 4, 4, {AttemptOutcome::kUnknown, {}, "timeout"}, false, 1},
-        {"its connects hang", 4, 4, {AttemptOutcome::kNotSent, {}, "timeout"}, false, 1},
+        {"frozen", 4, 4, {AttemptOutcome::kUnknown, {}, "timeout"}, false, 1},
+        {"connection attempts time out", 4, 4, {AttemptOutcome::kNotSent, {}, "timeout"}, false, 1},
     };
     for (const auto& it : cases) {
         instance.next = it.probe;
         instance.probes = 0;
-        BOOST_TEST(judgeBurst(it.running, it.broken) == it.has_ended, it.name);
+        BOOST_TEST(decideBurst(it.running, it.lost) == it.has_crashed, it.name);
         BOOST_TEST(instance.probes == it.probes, it.name << ": " << instance.probes << " probes");
     }
 }
 
 BOOST_AUTO_TEST_CASE(a_refused_connection_of_a_run_saves_the_probe) {
-    watch.onRefused();
-    BOOST_TEST(judged.empty());  // Nothing has broken: an instance that was not there has not ended now.
-    watch.onBroken(2);
-    watch.onBroken(2);
-    watch.onRefused();
-    BOOST_TEST(judged == std::vector<bool>{true}, boost::test_tools::per_element());
+    detector.onConnectionRefused();
+    BOOST_TEST(decisions.empty());  // No connection was lost: the instance was down before.
+    detector.onConnectionLost(2);
+    detector.onConnectionLost(2);
+    detector.onConnectionRefused();
+    BOOST_TEST(decisions == std::vector<bool>{true}, boost::test_tools::per_element());
     time.advance(1s);
-    BOOST_TEST(judged.size() == 1U);
+    BOOST_TEST(decisions.size() == 1U);
     BOOST_TEST(instance.probes == 0);
 }
 
--- a/tests/unit/relay/relay_crash_test.cc
+++ b/tests/unit/relay/relay_crash_test.cc
@@ -1,4 +1,4 @@
-/// What a relay does when its instance ends: whom it suspects, whom it tries, whom it refuses.
+/// Crashes of the instance: which requests the relay suspects, tries one at a time and rejects.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Keeps what it is sent until it is told how that ends. Probes end as `probe` says, at once.
+/// Holds requests until a test ends them. Probes end with the result `probe` after a millisecond.
 class TestedInstance : public BackEndPort {
 public:
     explicit TestedInstance(Clock& clock) : clock_(clock) {}
@@ -44,7 +44,7 @@
         callbacks.insert(callbacks.end(), rest.begin(), rest.end());
     }
     AttemptResult probe{AttemptOutcome::kNotSent, {}, "connect-failed"};
-    std::vector<std::string> paths;  ///< Of what it has.
+    std::vector<std::string> paths;  ///< Of the requests that it holds.
 
 private:
     struct Running : Attempt {
@@ -60,10 +60,10 @@
         relay.signalCrashed().connect([this](const quarantine::CrashNotice& it) { notices.push_back(it); });
         beat("i1", 1);
     }
-    void beat(const std::string& id, std::uint64_t sequence, std::uint64_t born_ms = 0) {
+    void beat(const std::string& id, std::uint64_t sequence, std::uint64_t start_ms = 0) {
         instance::Heartbeat heartbeat;
         heartbeat.id = id;
-        heartbeat.born_ms = born_ms;
+        heartbeat.start_ms = start_ms;
         heartbeat.slots = 20;
         heartbeat.sequence = sequence;
         local.onHeartbeat(heartbeat);
@@ -74,7 +74,7 @@
         request.instance = local.record().id();
         request.deadline = time.clock.now() + 2s;
         request.max_wait = 1s;
-        request.is_suspect = is_told_as_suspect;
+        request.is_suspect = marks_suspect;
         request.is_only_candidate = is_only_candidate;
         relay.start(std::move(request), [this](const relay::RelayResult& result) { reasons.push_back(result.reason); });
         time.advance(1ms);
@@ -84,8 +84,8 @@
         request.path = path;
         return quarantine::fingerprintOf(request);
     }
-    /// All connections of the instance break.
-    void breakAll() {
+    /// Loses all connections of the instance.
+    void loseAllConnections() {
         reasons.clear();
         instances.endAll(AttemptOutcome::kUnknown, "connection-closed");
         time.advance(20ms);
@@ -106,7 +106,7 @@
         time.clock, log, instances, local, quarantine, names, "i:1", [](const std::string&) { return 1.0; }, {}};
     std::vector<quarantine::CrashNotice> notices;
     std::vector<RelayReason> reasons;
-    bool is_told_as_suspect = false;
+    bool marks_suspect = false;
     bool is_only_candidate = false;
 };
 
@@ -114,10 +114,10 @@
 
 BOOST_FIXTURE_TEST_SUITE(unit_relay_crash, RelayFixture)
 
-BOOST_AUTO_TEST_CASE(suspects_are_tried_one_by_one_and_the_one_that_ends_the_next_instance_is_refused) {
+BOOST_AUTO_TEST_CASE(suspects_are_tried_one_by_one_and_the_one_that_crashes_the_next_instance_is_rejected) {
     start("/a");
     start("/b");
-    breakAll();
+    loseAllConnections();
     BOOST_REQUIRE(notices.size() == 1U);
     BOOST_TEST(notices[0].suspects.size() == 2U);
     BOOST_TEST((reasons == std::vector{RelayReason::kInstanceCrashed, RelayReason::kInstanceCrashed}));
@@ -130,10 +130,10 @@
     answerAll();
     BOOST_TEST(instances.paths == std::vector<std::string>{"/b"}, boost::test_tools::per_element());
     start("/other");
-    breakAll();
+    loseAllConnections();
     BOOST_REQUIRE(notices.size() == 2U);
     BOOST_TEST(notices[1].quarantined.size() == 1U);
-    BOOST_TEST(notices[1].suspects.empty());  // The other one has ended well just before.
+    BOOST_TEST(notices[1].suspects.empty());  // The other one completed before the crash.
     beat("i3", 1);
     reasons.clear();
     start("/b");
@@ -142,8 +142,8 @@
     BOOST_TEST(instances.paths == std::vector<std::string>{"/a"}, boost::test_tools::per_element());
 }
 
-/// Two of three are up after an end elsewhere. This relay runs suspects once that has settled, one at a time; when
-/// it is the last one that is up, none.
+/// Guards against suspects that crash the last instance: with two of three instances up after a remote crash they run
+/// one at a time after a pause, with one instance up they do not run.
 BOOST_AUTO_TEST_CASE(suspects_wait_until_an_instance_can_be_spared) {
     fleet::Replicas replicas{2, 1, 0};
     relay.setReplicaView([&replicas] { return replicas; });
@@ -165,44 +165,44 @@
     BOOST_TEST(instances.paths.empty());
 }
 
-/// The entry would send it on before the news of the verdict is everywhere.
-BOOST_AUTO_TEST_CASE(what_is_convicted_by_its_own_run_is_told_so) {
+/// Guards against a retry by the entry before all relays have received the notice of the quarantine.
+BOOST_AUTO_TEST_CASE(a_request_that_its_own_run_quarantines_is_reported_as_quarantined) {
     quarantine.suspect(fingerprint("/a"));
     start("/a");
-    breakAll();
+    loseAllConnections();
     BOOST_REQUIRE(notices.size() == 1U);
     BOOST_TEST(notices[0].quarantined.size() == 1U);
     BOOST_TEST((reasons == std::vector{RelayReason::kQuarantined}));
 }
 
-/// The entry has heard of the end before this relay.
-BOOST_AUTO_TEST_CASE(a_request_that_is_told_as_a_suspect_tells_the_end_of_an_instance) {
+/// The entry knows of the crash before this relay does.
+BOOST_AUTO_TEST_CASE(a_request_that_is_marked_as_suspect_implies_a_crash) {
     relay.setReplicaView([] { return fleet::Replicas{3, 0, 0}; });
-    is_told_as_suspect = true;
+    marks_suspect = true;
     start("/a");
     BOOST_TEST(instances.paths.empty());
     time.advance(250ms);
     BOOST_TEST(instances.paths == std::vector<std::string>{"/a"}, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_lost_connection_of_an_instance_that_lives_blames_nobody) {
+BOOST_AUTO_TEST_CASE(a_lost_connection_of_a_live_instance_marks_no_suspects) {
     instances.probe = {AttemptOutcome::kAnswered, {}, ""};
     start("/a");
-    breakAll();
-    BOOST_TEST((reasons == std::vector{RelayReason::kNoWholeAnswer}));
+    loseAllConnections();
+    BOOST_TEST((reasons == std::vector{RelayReason::kNoCompleteResponse}));
     BOOST_TEST(notices.empty());
     BOOST_TEST(local.isReady());
 }
 
-BOOST_AUTO_TEST_CASE(a_planned_end_blames_nobody) {
+BOOST_AUTO_TEST_CASE(a_planned_stop_marks_no_suspects) {
     start("/a");
     local.onLeave("i1");
-    breakAll();
+    loseAllConnections();
     BOOST_TEST(notices.empty());
 }
 
-/// An instance without power breaks no connection: another one in its place tells its end.
-BOOST_AUTO_TEST_CASE(another_instance_in_place_of_one_that_did_not_leave_tells_its_end) {
+/// Guards against a missed crash when no connection is lost, as after a power failure of the host.
+BOOST_AUTO_TEST_CASE(another_instance_in_place_of_one_that_did_not_leave_implies_its_crash) {
     start("/a");
     beat("i2", 1);
     BOOST_REQUIRE(notices.size() == 1U);
@@ -210,7 +210,7 @@
     BOOST_TEST(notices[0].suspects.size() == 1U);
 }
 
-/// A node that has little processor time reads the closed connections over a while, a few at a time.
+/// Guards against missed suspects when a slow node reads the closed connections a few at a time.
 BOOST_AUTO_TEST_CASE(runs_whose_closed_connections_are_read_late_are_suspected_all_the_same) {
     for (int number = 0; number < 12; ++number) {
         start("/" + std::to_string(number));
@@ -223,11 +223,11 @@
     BOOST_TEST(quarantine.suspectCount() == 12U);
 }
 
-/// Whether it has ended could not be found out at once: its probes hang. Another one in its place tells.
+/// Guards against lost suspects when the probes time out and only the next instance reveals the crash.
 BOOST_AUTO_TEST_CASE(runs_that_were_lost_before_another_instance_came_are_suspected) {
     instances.probe = {AttemptOutcome::kNotSent, {}, "timeout"};
     start("/a");
-    breakAll();
+    loseAllConnections();
     BOOST_TEST(notices.empty());
     time.advance(3s);
     beat("i2", 1);
@@ -235,20 +235,20 @@
     BOOST_TEST(notices[0].suspects.size() == 1U);
 }
 
-/// Taken for dead by mistake, it goes on with heartbeats under its id: its true end is noticed all the same.
-BOOST_AUTO_TEST_CASE(an_instance_that_was_taken_for_dead_by_mistake_counts_again) {
+/// Guards against a missed crash of an instance that was declared crashed by mistake before.
+BOOST_AUTO_TEST_CASE(a_crash_is_detected_after_an_earlier_false_detection) {
     start("/a");
-    breakAll();
+    loseAllConnections();
     BOOST_REQUIRE(notices.size() == 1U);
     beat("i1", 2);
     BOOST_TEST(local.isReady());
     start("/b");
-    breakAll();
+    loseAllConnections();
     BOOST_TEST(notices.size() == 2U);
 }
 
-/// Its machine lost its power: no connection breaks, and the next life has the id of the former.
-BOOST_AUTO_TEST_CASE(runs_of_a_former_life_end_unknown_at_once_and_free_their_places) {
+/// Guards against leaked slots after a power failure of the host: no connection is lost, and the id stays the same.
+BOOST_AUTO_TEST_CASE(runs_of_a_former_incarnation_end_at_once_and_free_their_slots) {
     beat("i2", 1, 1000);
     for (int run = 0; run < 18; ++run) {
         start("/a" + std::to_string(run));
@@ -269,20 +269,20 @@
     BOOST_TEST(instances.paths.back() == "/next");
 }
 
-BOOST_AUTO_TEST_CASE(each_life_under_one_id_is_blamed_on_its_own_runs) {
+BOOST_AUTO_TEST_CASE(each_incarnation_of_one_id_has_its_own_suspects) {
     beat("i2", 1, 1000);
     start("/a");
-    breakAll();
+    loseAllConnections();
     beat("i2", 1, 2000);
     start("/b");
-    breakAll();
+    loseAllConnections();
     BOOST_REQUIRE(notices.size() == 2U);
     BOOST_TEST(notices[1].runs == 1U);
     BOOST_TEST(notices[0].instance != notices[1].instance);
 }
 
-/// The next life is there before the end of the former one has been found out.
-BOOST_AUTO_TEST_CASE(an_end_that_is_found_out_late_is_not_the_next_lifes) {
+/// Guards against a crash that is detected late and attributed to the next incarnation.
+BOOST_AUTO_TEST_CASE(a_crash_that_is_detected_late_does_not_affect_the_next_incarnation) {
     beat("i2", 1, 1000);
     start("/a");
     instances.endAll(AttemptOutcome::kUnknown, "connection-closed");
@@ -293,8 +293,8 @@
     BOOST_TEST(notices.size() == 1U);
 }
 
-/// Every other relay of the service is stopping as well, or away.
-BOOST_AUTO_TEST_CASE(a_stopping_relay_takes_what_no_other_can_until_it_closes) {
+/// Guards against rejections while all other relays of the service are stopping or unreachable.
+BOOST_AUTO_TEST_CASE(a_stopping_relay_accepts_what_no_other_can_until_it_closes) {
     relay.stop(time.clock.now() + 3s);
     start("/a");
     BOOST_TEST((reasons == std::vector{RelayReason::kStopping}));
--- a/tests/unit/relay/relay_parts_test.cc
+++ b/tests/unit/relay/relay_parts_test.cc
@@ -14,16 +14,16 @@
 
 BOOST_AUTO_TEST_SUITE(unit_relay)
 
-BOOST_AUTO_TEST_CASE(a_queue_never_lets_in_more_than_its_limit_and_the_most_pressing_first) {
+BOOST_AUTO_TEST_CASE(a_queue_never_admits_more_than_its_limit_and_admits_the_most_urgent_first) {
     tests::VirtualTime time;
     InstanceQueue queue(time.clock, {});
     queue.setLimit(2);
-    std::vector<int> let_in;
+    std::vector<int> admitted;
     const auto enter = [&](int number, Duration order) {
         const auto now = time.clock.now();
-        queue.enter({now + order, now + 10s}, [&let_in, number](InstanceQueue::Decision decision) {
-            if (decision == InstanceQueue::Decision::kGo) {
-                let_in.push_back(number);
+        queue.enter({now + order, now + 10s}, [&admitted, number](InstanceQueue::Decision decision) {
+            if (decision == InstanceQueue::Decision::kAdmitted) {
+                admitted.push_back(number);
             }
         });
     };
@@ -32,15 +32,15 @@
     enter(3, 3s);
     enter(4, 1s);
     enter(5, 2s);
-    BOOST_TEST(let_in == (std::vector<int>{1, 2}), boost::test_tools::per_element());
+    BOOST_TEST(admitted == (std::vector<int>{1, 2}), boost::test_tools::per_element());
     queue.leave(50ms);
     queue.leave(50ms);
     queue.leave(50ms);
-    BOOST_TEST(let_in == (std::vector<int>{1, 2, 4, 5, 3}), boost::test_tools::per_element());
+    BOOST_TEST(admitted == (std::vector<int>{1, 2, 4, 5, 3}), boost::test_tools::per_element());
     BOOST_TEST(queue.load().running == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(who_would_wait_too_long_is_refused_at_once_and_who_does_wait_is_in_time) {
+BOOST_AUTO_TEST_CASE(requests_that_would_wait_too_long_are_rejected_at_once_and_others_expire_in_time) {
     tests::VirtualTime time;
     InstanceQueue queue(time.clock, {0.05, 100ms});
     queue.setLimit(1);
@@ -52,7 +52,7 @@
     };
     enter(1s);
     BOOST_TEST(enter(50ms) == 0U);  // 100 ms are expected.
-    BOOST_TEST((decisions.back() == InstanceQueue::Decision::kTooLong));
+    BOOST_TEST((decisions.back() == InstanceQueue::Decision::kWaitTooLong));
     BOOST_TEST(enter(150ms) != 0U);
     time.advance(200ms);
     BOOST_TEST((decisions.back() == InstanceQueue::Decision::kTimedOut));
@@ -63,15 +63,15 @@
     BOOST_TEST(queue.load().waiting == 0U);
 }
 
-/// Takes every request and never answers.
-class SilentInstance : public BackEndPort {
+/// Accepts every request and never responds.
+class UnresponsiveInstance : public BackEndPort {
 public:
     AttemptHandle send(const std::string&, HttpRequest, Duration, Callback) override {
         return std::make_unique<Attempt>();
     }
 };
 
-BOOST_AUTO_TEST_CASE(an_instance_is_never_filled_to_its_last_slot_unless_it_has_few) {
+BOOST_AUTO_TEST_CASE(one_slot_or_more_stays_free_unless_the_instance_has_few) {
     const struct {
         std::uint32_t slots;
         std::uint32_t limit;
@@ -79,7 +79,7 @@
     for (const auto& entry : cases) {
         tests::VirtualTime time;
         tests::RecordingLog log;
-        SilentInstance instances;
+        UnresponsiveInstance instances;
         instance::LocalInstance local(time.clock, 8s);
         quarantine::Quarantine quarantine(time.clock, {});
         const HeaderNames names;
@@ -94,11 +94,11 @@
     }
 }
 
-/// Whether a relay that has got 40 requests lets a repeat in.
-relay::RelayReason repeatAfter40(bool are_counted_elsewhere) {
+/// @return the reason for which a relay rejects a retry after 40 requests.
+relay::RelayReason retryAfter40(bool are_counted_elsewhere) {
     tests::VirtualTime time;
     tests::RecordingLog log;
-    SilentInstance instances;
+    UnresponsiveInstance instances;
     instance::LocalInstance local(time.clock, 8s);
     quarantine::Quarantine quarantine(time.clock, {});
     const HeaderNames names;
@@ -128,7 +128,7 @@
     return reason;
 }
 
-/// Answers each request after a millisecond with a failure of its own.
+/// Responds to each request with status 500 after a millisecond.
 class FailingInstance : public BackEndPort {
 public:
     explicit FailingInstance(Clock& clock) : clock_(clock) {}
@@ -150,15 +150,14 @@
     Clock& clock_;
 };
 
-/// One that is refused by a relay, for its queue, comes to a next one: counted there as well, each such
-/// request would allow the service's repeats twice.
-BOOST_AUTO_TEST_CASE(a_request_allows_repeats_at_one_relay_only) {
-    BOOST_TEST((repeatAfter40(false) == relay::RelayReason::kNone));
-    BOOST_TEST((repeatAfter40(true) == relay::RelayReason::kRetryBudget));
+/// Guards against a retry budget that grows with rejections: a request that several relays reject counts at one only.
+BOOST_AUTO_TEST_CASE(a_request_counts_for_retries_at_one_relay_only) {
+    BOOST_TEST((retryAfter40(false) == relay::RelayReason::kNone));
+    BOOST_TEST((retryAfter40(true) == relay::RelayReason::kRetryBudget));
 }
 
-/// One repeat is allowed here. What fails beside it takes that one along, also to a relay that has none left.
-BOOST_AUTO_TEST_CASE(a_relay_pays_for_the_repeat_of_what_fails_at_its_instance) {
+/// The budget allows one retry, and it is granted with the result of the failed request.
+BOOST_AUTO_TEST_CASE(a_relay_grants_the_retry_of_a_request_that_fails_at_its_instance) {
     tests::VirtualTime time;
     tests::RecordingLog log;
     FailingInstance instances(time.clock);
@@ -188,10 +187,10 @@
     for (int number = 0; number < 4; ++number) {
         send(relay::RetryPolicy::kNever, false);
     }
-    send(relay::RetryPolicy::kIfNotRun, false);  // It has run.
+    send(relay::RetryPolicy::kIfNotRun, false);  // It was run.
     send(relay::RetryPolicy::kAlways, false);
-    send(relay::RetryPolicy::kAlways, false);  // There is none left.
-    send(relay::RetryPolicy::kNever, true);    // Paid elsewhere.
+    send(relay::RetryPolicy::kAlways, false);  // The budget is spent.
+    send(relay::RetryPolicy::kNever, true);    // Granted by another relay.
     BOOST_REQUIRE(results.size() == 8U);
     for (std::size_t number = 0; number < results.size(); ++number) {
         BOOST_TEST(results[number].is_retry_paid == (number == 5), "request " << number);
@@ -200,7 +199,7 @@
     BOOST_TEST(relay.retryTotals().granted == 1U);
 }
 
-/// Answers when it is told to, and keeps the order in which requests were sent.
+/// Records the order of requests and responds when a test calls `respondFirst`.
 class PacedInstance : public BackEndPort {
 public:
     AttemptHandle send(const std::string&, HttpRequest request, Duration, Callback callback) override {
@@ -208,7 +207,7 @@
         callbacks.push_back(std::move(callback));
         return std::make_unique<Attempt>();
     }
-    void answerFirst() {
+    void respondFirst() {
         AttemptResult result;
         result.outcome = AttemptOutcome::kAnswered;
         result.answer.status = 500;
@@ -220,7 +219,7 @@
     std::vector<Callback> callbacks;
 };
 
-BOOST_AUTO_TEST_CASE(calls_of_trees_that_have_gone_on_are_let_in_first_and_all_inner_calls_may_wait) {
+BOOST_AUTO_TEST_CASE(calls_of_started_trees_are_admitted_first_and_all_internal_calls_may_wait) {
     tests::VirtualTime time;
     tests::RecordingLog log;
     PacedInstance instances;
@@ -249,22 +248,22 @@
         });
         time.advance(1ms);
     };
-    // Enough calls from one service alone to know that the route is an inner one.
+    // Enough calls from one service to classify the route as internal.
     for (int call = 0; call < 12; ++call) {
         start("warm", 700ms);
         if (!instances.callbacks.empty()) {
-            instances.answerFirst();
+            instances.respondFirst();
         }
     }
     instances.order.clear();
     start("running", 700ms);
     start("first", 700ms);
     start("continuing", 400ms);
-    instances.answerFirst();
-    instances.answerFirst();
+    instances.respondFirst();
+    instances.respondFirst();
     BOOST_TEST(instances.order == (std::vector<std::string>{"running", "continuing", "first"}),
                boost::test_tools::per_element());
-    // They wait for 0.6 of the time that they give, and no longer.
+    // They wait for 0.6 of their remaining time.
     start("late first", 700ms);
     start("late continuing", 400ms);
     time.advance(235ms);
@@ -276,7 +275,7 @@
                boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(repeats_stay_within_the_part_of_the_bound) {
+BOOST_AUTO_TEST_CASE(retries_stay_within_the_part_of_the_limit) {
     const TimePoint start(100s);
     decision::RepeatBudget budget({0.2, 40, 10s}, start);
     for (int count = 0; count < 100; ++count) {
@@ -286,37 +285,37 @@
     while (budget.tryRepeat(start + 1s, 4, 1)) {
         ++taken;
     }
-    BOOST_TEST(taken == 16);  // 0.8 of 0.2 * 100, and of 1.25 s of what comes of the slack: 0.2 * 40 / 4 in 10 s.
+    BOOST_TEST(taken == 16);  // 0.8 of 0.2 * 100, and of the slack accrued in 1.25 s: 0.2 * 40 / 4 in 10 s.
     while (budget.tryRepeat(start + 9s, 4, 1)) {
         ++taken;
     }
-    BOOST_TEST(taken == 17);  // The same with 9.25 s of the slack.
+    BOOST_TEST(taken == 17);  // The same with the slack accrued in 9.25 s.
     int later = 0;
     while (budget.tryRepeat(start + 30s, 4, 1)) {
         ++later;
     }
-    BOOST_TEST(later == 6);  // The slack alone: 0.8 of what is kept of it, 0.8 * 40 / 4.
+    BOOST_TEST(later == 6);  // Only the slack: 0.8 of its stored part, 0.8 * 40 / 4.
 }
 
-BOOST_AUTO_TEST_CASE(a_route_is_inner_if_its_requests_begin_beside_too_few_services) {
+BOOST_AUTO_TEST_CASE(a_route_is_internal_if_its_requests_enter_at_the_hosts_of_few_services) {
     tests::VirtualTime time;
-    relay::InternalRouteDetector census(time.clock, [](const std::string&) { return 0.25; });
-    BOOST_TEST(!census.isInner("unseen"));
+    relay::InternalRouteDetector detector(time.clock, [](const std::string&) { return 0.25; });
+    BOOST_TEST(!detector.isInternal("unseen"));
     for (int count = 0; count < 20; ++count) {
-        census.onRequest("inner", "desk");
-        census.onRequest("callers", "service" + std::to_string(count % 4));
+        detector.onRequest("inner", "desk");
+        detector.onRequest("callers", "service" + std::to_string(count % 4));
     }
-    BOOST_TEST(census.isInner("inner"));
-    BOOST_TEST(!census.isInner("callers"));
-    census.onRequest("new", "desk");
-    BOOST_TEST(!census.isInner("new"));
-    BOOST_TEST(!census.verdict("new").has_value());  // One request tells nothing.
-    BOOST_TEST(!census.verdict("unseen").has_value());
-    BOOST_TEST(census.verdict("inner").value());
-    BOOST_TEST(!census.verdict("callers").value());
+    BOOST_TEST(detector.isInternal("inner"));
+    BOOST_TEST(!detector.isInternal("callers"));
+    detector.onRequest("new", "desk");
+    BOOST_TEST(!detector.isInternal("new"));
+    BOOST_TEST(!detector.classify("new").has_value());  // One request is not enough.
+    BOOST_TEST(!detector.classify("unseen").has_value());
+    BOOST_TEST(detector.classify("inner").value());
+    BOOST_TEST(!detector.classify("callers").value());
 }
 
-BOOST_AUTO_TEST_CASE(a_relayed_request_and_its_result_survive_the_way) {
+BOOST_AUTO_TEST_CASE(a_relayed_request_and_its_result_are_unchanged_by_the_wire_format) {
     relay::RelayRequest request;
     request.request.method = "POST";
     request.request.path = "/a?b";
@@ -348,7 +347,7 @@
     BOOST_TEST(read->lineage.repeat_share == 0.25);
     BOOST_TEST(read->lineage.represents == 3.5);
     BOOST_TEST(read->priority == 3U);
-    BOOST_TEST((read->deadline == TimePoint(10s)));  // The time left, on the relay's own clock.
+    BOOST_TEST((read->deadline == TimePoint(10s)));  // The remaining time is applied to the clock of the relay.
     BOOST_TEST((read->max_wait == 70ms));
     BOOST_TEST(read->request.headers.lines().size() == 1U);
     BOOST_TEST(read->request.body == "body");
@@ -375,7 +374,7 @@
         BOOST_TEST((back.outcome == outcome));
         BOOST_TEST((back.reason == result.reason));
         BOOST_TEST(back.load.waiting == 5U);
-        BOOST_TEST((back.load.mean_time == 7ms));
+        BOOST_TEST((back.load.mean_service_time == 7ms));
         BOOST_TEST(back.report.below.service == "leaf");
         BOOST_TEST(back.report.below.level == 0.25);
         BOOST_TEST((back.report.below.cost == 88ms));
@@ -388,9 +387,9 @@
         BOOST_TEST(back.is_retry_paid);
         BOOST_TEST((back.answer.status == 418) == (outcome == relay::RelayOutcome::kAnswered));
     }
-    HttpAnswer foreign;
-    foreign.status = 200;
-    BOOST_TEST((relay::fromHttp(foreign).result.outcome == relay::RelayOutcome::kUnknown));
+    HttpAnswer unmarked;
+    unmarked.status = 200;
+    BOOST_TEST((relay::fromHttp(unmarked).result.outcome == relay::RelayOutcome::kUnknown));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/relay/relay_retries_test.cc
+++ b/tests/unit/relay/relay_retries_test.cc
@@ -1,10 +1,5 @@
-/// What the relays of a service pay for while some of them stop.
-///
-/// Symptom: a service was sent 212 repeats for 859 requests within ten seconds, where a fifth of them and a slack of 40
-/// are allowed: 211. Sequence: nodes were stopped in turn while all instances of the service refused much. Cause: each
-/// relay took the slack divided by the relays that take calls at the moment. While two of three were stopping all three
-/// divided it by one, and those that were stopping still paid for what failed at their instances. Settled by the lines
-/// `event=repeats` of one second: relays=1 and window_allowed=94, 109 and 85 side by side.
+/// Guards against a service that exceeds its retry limit while some of its relays stop: each relay takes a part of the
+/// slack that depends on the number of relays, and stopping relays still spend their parts.
 
 #include <boost/test/unit_test.hpp>
 #include <memory>
@@ -21,15 +16,15 @@
 
 constexpr decision::RepeatBound kBound{0.2, 40, 10s};
 constexpr std::size_t kRelays = 3;
-constexpr Duration kStep = 500ms;  ///< Each relay gets a request in each.
+constexpr Duration kStep = 500ms;  ///< Each relay receives one request per step.
 constexpr double kRequestsInWindow = kRelays * (kBound.window / kStep);
 
-/// Three relays of one service, at each of which more fails than may be repeated.
+/// Relays of one service, each with more failures than its retry budget covers.
 struct Service {
     tests::VirtualTime time;
     decision::CallGraph graph{{}};
     std::vector<std::unique_ptr<relay::RelayRetries>> relays;
-    double repeats = 0;
+    double retries = 0;
 
     Service() {
         for (std::size_t count = 0; count < kRelays; ++count) {
@@ -58,8 +53,8 @@
         failure.was_sent = true;
         failure.answer.status = kHttpInternalServerError;
         for (auto& relay : relays) {
-            while (relay->paysRepeat(request, failure)) {
-                repeats += 1;
+            while (relay->payForRetry(request, failure)) {
+                retries += 1;
             }
         }
     }
@@ -67,10 +62,10 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(unit_relay_repeats)
+BOOST_AUTO_TEST_SUITE(unit_relay_retries)
 
-/// All repeats come within one window, and every relay spends whatever it may at each moment.
-BOOST_AUTO_TEST_CASE(the_slack_is_there_once_while_relays_stop) {
+/// All retries fall within one window, and each relay spends all of its budget at every step.
+BOOST_AUTO_TEST_CASE(the_slack_is_spent_only_once_while_relays_stop) {
     Service service;
     service.runFor(kBound.window * 2);
     for (std::size_t left = kRelays; left > 0; --left) {
@@ -79,18 +74,18 @@
         service.spendAll();
     }
     const double allowed = kBound.ratio * kRequestsInWindow + kBound.slack;
-    BOOST_TEST(service.repeats <= allowed, service.repeats << " repeats, " << allowed << " allowed");
+    BOOST_TEST(service.retries <= allowed, service.retries << " retries, " << allowed << " allowed");
 }
 
-/// What a relay that has gone may have spent counts for a window, and is the others' afterwards.
-BOOST_AUTO_TEST_CASE(the_whole_slack_is_the_last_relays_after_a_window) {
+/// The slack of a relay that has gone is reserved for one window; the remaining relays use it afterwards.
+BOOST_AUTO_TEST_CASE(the_last_relay_has_the_whole_slack_after_a_window) {
     Service service;
     service.runFor(kBound.window);
     service.setRelayCount(1);
     service.relays.resize(1);
     service.runFor(kBound.window * 2);
     service.spendAll();
-    BOOST_TEST(service.repeats > 0.6 * kBound.slack);
+    BOOST_TEST(service.retries > 0.6 * kBound.slack);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
