--- /dev/null
+++ b/src/relay/relay_retries.h
@@ -0,0 +1,53 @@
+/// @file
+/// A relay's part of the retry budget of its service.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <string>
+
+#include "src/base/recent_maximum.h"
+#include "src/decision/call_graph.h"
+#include "src/decision/repeat_budget.h"
+#include "src/ports/clock.h"
+#include "src/relay/relay_message.h"
+
+namespace dewcrank::relay {
+
+/// Counts first attempts and grants retries. The budget allows retries up to a ratio of the first attempts at this
+/// relay, plus this relay's part of a slack that all relays of the service share.
+class RelayRetries {
+public:
+    /// @param graph of the calls that the instance makes. @param bound limit of the whole service.
+    RelayRetries(Clock& clock, const decision::CallGraph& graph, decision::RepeatBound bound);
+
+    /// @param count of relays that accept requests of the service. The slack is divided by the maximum over the last
+    /// window, as relays that have gone or are stopping may have spent their parts.
+    void setRelayCount(std::size_t count) { relay_count_.set(clock_.now(), count); }
+    /// Counts a request unless it is a retry or another relay has counted it, so that each counts once.
+    void count(const RelayRequest& request);
+    /// @return whether the request is no retry, or a retry that was granted before or is granted now.
+    bool mayRetry(const RelayRequest& request);
+    /// Grants the retry of a request that failed here from the budget of this relay, so that one failing instance can
+    /// use all of its relay's budget. @return whether it is granted.
+    bool payForRetry(const RelayRequest& request, const RelayResult& result);
+
+    [[nodiscard]] const decision::RepeatTotals& totals() const { return budget_.totals(); }
+    [[nodiscard]] decision::RepeatWindow window() { return budget_.window(clock_.now(), relayCount()); }
+    /// Total of first attempts that were not counted here, as another relay had counted them.
+    [[nodiscard]] std::uint64_t countedElsewhere() const { return counted_elsewhere_; }
+    /// Number of relays by which the slack is divided.
+    [[nodiscard]] std::size_t relayCount() { return relay_count_.at(clock_.now()); }
+
+private:
+    bool takeFromBudget(const std::string& route);
+    [[nodiscard]] double slackShare(const std::string& route) const;
+
+    Clock& clock_;
+    const decision::CallGraph& graph_;
+    decision::RepeatBudget budget_;
+    RecentMaximum relay_count_;
+    std::uint64_t counted_elsewhere_ = 0;
+};
+
+}  // namespace dewcrank::relay
