--- a/src/adapters/sidecar_metrics.cc
+++ b/src/adapters/sidecar_metrics.cc
@@ -82,11 +82,11 @@
     setGauge("dewcrank_quota_tokens_returned", "Those of them whose requests did not run.",
              static_cast<double>(quota.returned));
     setGauge("dewcrank_quota_tokens_lent", "Tokens handed out to other nodes, since the start.",
-             static_cast<double>(quota.lent));
+             static_cast<double>(quota.granted_to_peers));
     setGauge("dewcrank_quota_denied", "Requests of this entry beyond their tenants' limits, since the start.",
-             static_cast<double>(quota.beyond));
+             static_cast<double>(quota.denied));
     setGauge("dewcrank_quota_unknown", "Requests of this entry for which no owner of tokens could be asked.",
-             static_cast<double>(quota.unknown));
+             static_cast<double>(quota.no_owner));
     setGauge("dewcrank_quota_shards", "Shards of the quotas that this node hands out the tokens of.",
              static_cast<double>(node.quotaShards()));
     setGauge("dewcrank_nodes_known", "Other nodes known.", static_cast<double>(node.directory().others().size()));
--- a/src/entry/call_intake.cc
+++ b/src/entry/call_intake.cc
@@ -30,7 +30,7 @@
     return std::nullopt;
 }
 
-void CallIntake::start(Number number, HttpRequest request, const Callback& callback) {
+void CallIntake::start(RequestId number, HttpRequest request, const Callback& callback) {
     const auto route = services_.table.match(request.headers.get("host"), request.path);
     if (const auto refusal = refusalOf(request, route)) {
         callback(std::move(request), TurnedAway{*refusal, route});
@@ -50,7 +50,7 @@
     takeToken(number, std::move(request), std::move(admitted), callback);
 }
 
-void CallIntake::takeToken(Number number, HttpRequest request, Admitted admitted, const Callback& callback) {
+void CallIntake::takeToken(RequestId number, HttpRequest request, Admitted admitted, const Callback& callback) {
     const auto tenant = admitted.tenant;
     waiting_[number] = {std::move(request), std::move(admitted), 0};
     const auto token = services_.quota.take(
@@ -60,28 +60,28 @@
     }
 }
 
-void CallIntake::onToken(Number number, const quota::TokenResult& result, const Callback& callback) {
+void CallIntake::onToken(RequestId number, const quota::TokenResult& result, const Callback& callback) {
     auto ended = waiting_.extract(number);
     if (ended.empty()) {
         return;
     }
     auto& it = ended.mapped();
-    switch (result.answer) {
-        case quota::TokenAnswer::kGranted:
+    switch (result.outcome) {
+        case quota::TokenOutcome::kGranted:
             it.admitted.token = result.token;
             callback(std::move(it.request), std::move(it.admitted));
             return;
-        case quota::TokenAnswer::kBeyond:
+        case quota::TokenOutcome::kOverLimit:
             callback(std::move(it.request),
                      TurnedAway{{kHttpTooManyRequests, "quota", result.retry_after}, it.admitted.route});
             return;
-        case quota::TokenAnswer::kUnknown:
+        case quota::TokenOutcome::kNoOwner:
             callback(std::move(it.request),
                      TurnedAway{{kHttpServiceUnavailable, "quota-unknown", kNoOwnerRetryAfter}, it.admitted.route});
     }
 }
 
-void CallIntake::cancel(Number number) {
+void CallIntake::cancel(RequestId number) {
     if (const auto ended = waiting_.extract(number); !ended.empty()) {
         services_.quota.cancel(ended.mapped().token);
     }
--- a/src/entry/call_intake.h
+++ b/src/entry/call_intake.h
@@ -40,7 +40,7 @@
 
 class CallIntake {
 public:
-    using Number = std::uint64_t;
+    using RequestId = std::uint64_t;
     using Outcome = std::variant<Admitted, TurnedAway>;
     /// Gets the request back as it was handed in.
     using Callback = std::function<void(HttpRequest, Outcome)>;
@@ -49,9 +49,9 @@
 
     /// Calls back exactly once, at once or later, unless the request is cancelled.
     /// @param number chosen by the caller, for `cancel` and `isWaiting`.
-    void start(Number number, HttpRequest request, const Callback& callback);
-    void cancel(Number number);
-    [[nodiscard]] bool isWaiting(Number number) const { return waiting_.contains(number); }
+    void start(RequestId number, HttpRequest request, const Callback& callback);
+    void cancel(RequestId number);
+    [[nodiscard]] bool isWaiting(RequestId number) const { return waiting_.contains(number); }
     [[nodiscard]] std::size_t waitingCount() const { return waiting_.size(); }
 
 private:
@@ -59,14 +59,14 @@
     struct Waiting {
         HttpRequest request;
         Admitted admitted;
-        quota::QuotaClient::Number token = 0;
+        quota::QuotaClient::RequestId token = 0;
     };
     [[nodiscard]] std::optional<Refusal> refusalOf(const HttpRequest& request, const policy::RoutePtr& route) const;
-    void takeToken(Number number, HttpRequest request, Admitted admitted, const Callback& callback);
-    void onToken(Number number, const quota::TokenResult& result, const Callback& callback);
+    void takeToken(RequestId number, HttpRequest request, Admitted admitted, const Callback& callback);
+    void onToken(RequestId number, const quota::TokenResult& result, const Callback& callback);
 
     IntakeServices services_;
-    std::map<Number, Waiting> waiting_;
+    std::map<RequestId, Waiting> waiting_;
 };
 
 }  // namespace dewcrank::entry
--- a/src/entry/entry_call.cc
+++ b/src/entry/entry_call.cc
@@ -123,7 +123,7 @@
         auto received = relay::fromHttp(std::move(result.answer));
         const bool is_its_own = received.sender.name.empty() || received.sender.name == relay_;
         if (!is_its_own && !services_.weakening.trusts_any_answer) {
-            onDisplaced(received);
+            onSuperseded(received);
             return;
         }
         services_.directory.onReached(relay_);
@@ -141,9 +141,9 @@
 
 /// Another node has the relay's address now. It has refused the call, which names another instance than its own; what
 /// it reports of its load, and of the route, is not the relay's.
-void EntryCall::onDisplaced(const relay::ReceivedResult& received) {
+void EntryCall::onSuperseded(const relay::ReceivedResult& received) {
     services_.log.write(Event("node_displaced").with("peer", relay_).with("by", received.sender.name));
-    services_.directory.onDisplaced(relay_);
+    services_.directory.onSuperseded(relay_);
     relay::RelayResult result;
     result.outcome = received.result.outcome == relay::RelayOutcome::kNotRun ? relay::RelayOutcome::kNotRun
                                                                              : relay::RelayOutcome::kUnknown;
--- a/src/entry/entry_call.h
+++ b/src/entry/entry_call.h
@@ -128,7 +128,7 @@
     [[nodiscard]] relay::FailurePlan failurePlan() const;
     [[nodiscard]] relay::RelayRequest relayRequest(const RelayTarget& target) const;
     void onRelayAnswer(AttemptResult result);
-    void onDisplaced(const relay::ReceivedResult& received);
+    void onSuperseded(const relay::ReceivedResult& received);
     void onRelayLost(const std::string& reason, bool was_sent);
     std::string relayEnded();
     void onResult(relay::RelayResult result);
--- a/src/entry/relay_selector.cc
+++ b/src/entry/relay_selector.cc
@@ -15,21 +15,21 @@
 
 std::size_t RelaySelector::relayCount(const std::string& service) const {
     std::size_t count = serves(directory_.self(), service) ? 1 : 0;
-    for (const auto* node : directory_.othersWith(service)) {
+    for (const auto* node : directory_.othersWithService(service)) {
         count += serves(*node, service) ? 1 : 0;
     }
     return count;
 }
 
-RelaySelector::Seen& RelaySelector::seenOf(std::size_t number) {
-    while (seen_.size() <= number) {
+RelaySelector::Seen& RelaySelector::seenOf(std::size_t ordinal) {
+    while (seen_.size() <= ordinal) {
         seen_.emplace_back(knobs_.failure_memory);
     }
-    return seen_[number];
+    return seen_[ordinal];
 }
 
 double RelaySelector::costOf(TimePoint now, const Candidate& candidate) {
-    const auto& seen = seenOf(candidate.number);
+    const auto& seen = seenOf(candidate.ordinal);
     const auto age = now - seen.reported;
     const double memory =
         std::clamp(1 - static_cast<double>(age.count()) / static_cast<double>(knobs_.load_memory.count()), 0.0, 1.0);
@@ -69,9 +69,9 @@
     if (serves(self, service)) {
         consider({self, 0, std::chrono::milliseconds(self.instance().cold_left_ms()), false});
     }
-    for (const auto* node : directory_.othersWith(service)) {
+    for (const auto* node : directory_.othersWithService(service)) {
         if (serves(*node, service)) {
-            consider({node->record, node->number, directory_.coldLeft(*node, now),
+            consider({node->record, node->ordinal, directory_.coldLeft(*node, now),
                       fleet::NodeDirectory::isSuspected(*node)});
         }
     }
@@ -87,10 +87,10 @@
 /// The one that was heard last is the least likely to have ended.
 RelayTarget RelaySelector::chooseStopping(const std::string& service, const std::set<std::string>& excluded) const {
     const fleet::KnownNode* best = nullptr;
-    for (const auto* node : directory_.othersWith(service)) {
+    for (const auto* node : directory_.othersWithService(service)) {
         const bool is_candidate = servesWhileStopping(node->record, service) &&
                                   fleet::NodeDirectory::isReachable(*node) && !excluded.contains(node->record.name());
-        if (is_candidate && (best == nullptr || node->last_heard > best->last_heard)) {
+        if (is_candidate && (best == nullptr || node->last_contact > best->last_contact)) {
             best = node;
         }
     }
@@ -112,7 +112,7 @@
     if (serves(self, service) && !excluded.contains(self.name())) {
         return true;
     }
-    const auto& others = directory_.othersWith(service);
+    const auto& others = directory_.othersWithService(service);
     return std::any_of(others.begin(), others.end(), [&](const auto* node) {
         return serves(*node, service) && !fleet::NodeDirectory::isSuspected(*node) &&
                !excluded.contains(node->record.name());
--- a/src/entry/relay_selector.h
+++ b/src/entry/relay_selector.h
@@ -70,18 +70,18 @@
     };
     [[nodiscard]] static bool serves(const wire::NodeRecord& record, const std::string& service);
     [[nodiscard]] static bool serves(const fleet::KnownNode& node, const std::string& service) {
-        return !node.is_displaced && serves(node.record, service);
+        return !node.is_superseded && serves(node.record, service);
     }
     [[nodiscard]] static bool servesWhileStopping(const wire::NodeRecord& record, const std::string& service);
     /// A relay that may be chosen, as the directory knows it.
     struct Candidate {
         const wire::NodeRecord& record;
-        std::size_t number;
+        std::size_t ordinal;
         Duration cold_left;
         bool is_suspected;
     };
-    Seen& seenOf(std::size_t number);
-    Seen& seenOf(const std::string& node) { return seenOf(directory_.numberOf(node)); }
+    Seen& seenOf(std::size_t ordinal);
+    Seen& seenOf(const std::string& node) { return seenOf(directory_.ordinalOf(node)); }
     double costOf(TimePoint now, const Candidate& candidate);
     [[nodiscard]] RelayTarget chooseStopping(const std::string& service, const std::set<std::string>& excluded) const;
 
--- a/src/fleet/failure_detector.cc
+++ b/src/fleet/failure_detector.cc
@@ -10,78 +10,79 @@
 }
 
 void FailureDetector::onCallSent(const std::string& name) {
-    auto& it = watched_[name];
-    if (++it.calls == 1) {
-        it.waiting_since = clock_.now();
+    auto& peer = peers_[name];
+    if (++peer.calls == 1) {
+        peer.busy_since = clock_.now();
     }
-    if (!it.timer && !it.is_probing) {
-        lookAfter(name, knobs_.longest_quiet);
+    if (!peer.timer && !peer.is_probing) {
+        scheduleCheck(name, knobs_.max_silence);
     }
 }
 
 void FailureDetector::onCallEnded(const std::string& name) {
-    auto& it = watched_[name];
-    it.calls = std::max(0, it.calls - 1);
+    auto& peer = peers_[name];
+    peer.calls = std::max(0, peer.calls - 1);
 }
 
-void FailureDetector::lookAfter(const std::string& name, Duration wait) {
-    watched_[name].timer = clock_.startTimer(wait, [this, name] { look(name); });
+void FailureDetector::scheduleCheck(const std::string& name, Duration wait) {
+    peers_[name].timer = clock_.startTimer(wait, [this, name] { check(name); });
 }
 
-void FailureDetector::look(const std::string& name) {
-    auto& it = watched_[name];
-    it.timer.reset();
+void FailureDetector::check(const std::string& name) {
+    auto& peer = peers_[name];
+    peer.timer.reset();
     const auto* node = directory_.find(name);
-    if (node == nullptr || it.is_probing) {
+    if (node == nullptr || peer.is_probing) {
         return;
     }
     if (directory_.isSuspected(*node)) {
         probe(name);
         return;
     }
-    it.next_reprobe = {};
-    if (it.calls == 0) {
+    peer.reprobe_interval = {};
+    if (peer.calls == 0) {
         return;
     }
-    const auto quiet = clock_.now() - std::max(it.waiting_since, node->last_heard);
-    if (quiet >= knobs_.longest_quiet) {
+    const auto silence = clock_.now() - std::max(peer.busy_since, node->last_contact);
+    if (silence >= knobs_.max_silence) {
         probe(name);
     } else {
-        lookAfter(name, knobs_.longest_quiet - quiet);
+        scheduleCheck(name, knobs_.max_silence - silence);
     }
 }
 
 void FailureDetector::probe(const std::string& name) {
-    watched_[name].is_probing = true;
-    gossip_.probe(name, knobs_.probe_timeout, [this, name](bool is_answered) { onProbed(name, is_answered); });
+    peers_[name].is_probing = true;
+    gossip_.probe(name, knobs_.probe_timeout, [this, name](bool is_answered) { onProbeResult(name, is_answered); });
 }
 
 /// The directory has been told of the result by then.
-void FailureDetector::onProbed(const std::string& name, bool is_answered) {
-    auto& it = watched_[name];
-    it.is_probing = false;
+void FailureDetector::onProbeResult(const std::string& name, bool is_answered) {
+    auto& peer = peers_[name];
+    peer.is_probing = false;
     if (is_answered) {
-        it.next_reprobe = {};
-        if (it.calls > 0) {
-            lookAfter(name, knobs_.longest_quiet);
+        peer.reprobe_interval = {};
+        if (peer.calls > 0) {
+            scheduleCheck(name, knobs_.max_silence);
         }
         return;
     }
-    it.next_reprobe = std::clamp(it.next_reprobe * 2, knobs_.first_reprobe, knobs_.longest_reprobe);
-    lookAfter(name, it.next_reprobe);
-    if (it.calls > 0) {
-        signal_silent_.emit(name);
+    peer.reprobe_interval =
+        std::clamp(peer.reprobe_interval * 2, knobs_.min_reprobe_interval, knobs_.max_reprobe_interval);
+    scheduleCheck(name, peer.reprobe_interval);
+    if (peer.calls > 0) {
+        signal_unresponsive_.emit(name);
     }
 }
 
 /// Any failed contact leads here, a call's as well as a probe's.
 void FailureDetector::onSuspected(const std::string& name) {
-    auto& it = watched_[name];
-    if (it.is_probing || it.next_reprobe > Duration::zero()) {
+    auto& peer = peers_[name];
+    if (peer.is_probing || peer.reprobe_interval > Duration::zero()) {
         return;
     }
-    it.next_reprobe = knobs_.first_reprobe;
-    lookAfter(name, it.next_reprobe);
+    peer.reprobe_interval = knobs_.min_reprobe_interval;
+    scheduleCheck(name, peer.reprobe_interval);
 }
 
 }  // namespace dewcrank::fleet
--- a/src/fleet/failure_detector.h
+++ b/src/fleet/failure_detector.h
@@ -22,10 +22,10 @@
 
 /// Constants of the detector.
 struct FailureDetectorKnobs {
-    Duration longest_quiet = 300ms;  ///< A node with calls that says nothing for this long is probed.
+    Duration max_silence = 300ms;  ///< A node with calls that says nothing for this long is probed.
     Duration probe_timeout = 300ms;
-    Duration first_reprobe = 250ms;  ///< Wait before a suspected node is probed; doubles each time.
-    Duration longest_reprobe = 2s;
+    Duration min_reprobe_interval = 250ms;  ///< Wait before a suspected node is probed; doubles each time.
+    Duration max_reprobe_interval = 2s;
 };
 
 /// Watches the nodes that calls of this node run at. Costs nothing while answers come in.
@@ -37,28 +37,28 @@
     void onCallEnded(const std::string& name);
 
     /// Emitted with a node's name when a probe of it has failed while calls run there.
-    sigc::signal<void(const std::string&)>& signalSilent() { return signal_silent_; }
+    sigc::signal<void(const std::string&)>& signalUnresponsive() { return signal_unresponsive_; }
 
 private:
-    struct Watched {
-        int calls = 0;              ///< That run there; never below 0.
-        TimePoint waiting_since{};  ///< When the first of them was sent.
-        bool is_probing = false;    ///< At most one probe of a node is under way.
-        Duration next_reprobe{};    ///< Zero while the node is not suspected.
-        TimerHandle timer;          ///< Of the next look at it; none while nothing is to be watched.
+    struct Peer {
+        int calls = 0;                ///< That run there; never below 0.
+        TimePoint busy_since{};       ///< When the first of them was sent.
+        bool is_probing = false;      ///< At most one probe of a node is under way.
+        Duration reprobe_interval{};  ///< Zero while the node is not suspected.
+        TimerHandle timer;            ///< Of the next look at it; none while nothing is to be watched.
     };
-    void look(const std::string& name);
-    void lookAfter(const std::string& name, Duration wait);
+    void check(const std::string& name);
+    void scheduleCheck(const std::string& name, Duration wait);
     void probe(const std::string& name);
-    void onProbed(const std::string& name, bool is_answered);
+    void onProbeResult(const std::string& name, bool is_answered);
     void onSuspected(const std::string& name);
 
     Clock& clock_;
     NodeDirectory& directory_;
     Gossip& gossip_;
     FailureDetectorKnobs knobs_;
-    std::map<std::string, Watched> watched_;
-    sigc::signal<void(const std::string&)> signal_silent_;
+    std::map<std::string, Peer> peers_;
+    sigc::signal<void(const std::string&)> signal_unresponsive_;
 };
 
 }  // namespace dewcrank::fleet
--- a/src/fleet/gossip.cc
+++ b/src/fleet/gossip.cc
@@ -14,7 +14,7 @@
 /// Stands for the table among the rumors: each message tells its version anyway.
 const std::string kTableRumor;
 /// Tries to find a node that is not suspected, for each that is wanted.
-constexpr std::size_t kTriesForReachable = 4;
+constexpr std::size_t kTriesPerNode = 4;
 
 }  // namespace
 
@@ -30,10 +30,11 @@
       knobs_(knobs),
       rumors_(knobs.rumors) {
     directory_.signalSelfChanged().connect(
-        [this] { spread(directory_.self().name(), knobs_.first_fanout, Duration::zero()); });
-    directory_.signalAddressShared().connect(
-        [this](const std::string& former, const std::string& latter) { settleAddress(former, latter); });
-    table_.signalAdopted().connect([this] { spreadTable(); });
+        [this] { queueRumor(directory_.self().name(), knobs_.self_change_fanout, Duration::zero()); });
+    directory_.signalAddressConflict().connect([this](const std::string& previous, const std::string& claimant) {
+        resolveAddressConflict(previous, claimant);
+    });
+    table_.signalAdopted().connect([this] { pushTable(); });
 }
 
 void Gossip::start() {
@@ -41,11 +42,11 @@
 }
 
 void Gossip::scheduleNext() {
-    tick_timer_ = clock_.startTimer(spreadOut(knobs_.interval), [this] { tick(); });
+    tick_timer_ = clock_.startTimer(jitter(knobs_.interval), [this] { tick(); });
 }
 
 /// From half of an interval to one and a half: nodes do not stay in step.
-Duration Gossip::spreadOut(Duration interval) {
+Duration Gossip::jitter(Duration interval) {
     return interval / 2 +
            Duration(static_cast<std::int64_t>(random_.below(static_cast<std::uint64_t>(interval.count()))));
 }
@@ -59,9 +60,9 @@
 }
 
 /// Different nodes, as many of them as can be had without suspected ones.
-std::vector<std::string> Gossip::randomNodes(std::size_t most) {
+std::vector<std::string> Gossip::randomNodes(std::size_t limit) {
     std::set<std::string> names;
-    for (std::size_t tries = most * kTriesForReachable; tries > 0 && names.size() < most; --tries) {
+    for (std::size_t tries = limit * kTriesPerNode; tries > 0 && names.size() < limit; --tries) {
         if (directory_.otherCount() == 0) {
             break;
         }
@@ -73,7 +74,7 @@
     return {names.begin(), names.end()};
 }
 
-wire::Gossip Gossip::message() const {
+wire::Gossip Gossip::makeMessage() const {
     wire::Gossip message;
     message.set_sender(directory_.self().name());
     message.set_sender_address(directory_.self().address());
@@ -88,69 +89,71 @@
 // Rumors ---------------------------------------------------------------------
 
 /// Something is news here. A round that is due earlier takes it along.
-void Gossip::spread(const std::string& name, std::size_t fanout, Duration wait) {
+void Gossip::queueRumor(const std::string& name, std::size_t fanout, Duration wait) {
     rumors_.add(name);
-    const bool is_earlier = wait == Duration::zero();
-    if (fanout_ == 0 || is_earlier) {
-        rumor_timer_ = clock_.startTimer(wait, [this] { tellRumors(); });
+    const bool is_immediate = wait == Duration::zero();
+    if (next_fanout_ == 0 || is_immediate) {
+        rumor_timer_ = clock_.startTimer(wait, [this] { sendRumorRound(); });
     }
-    fanout_ = std::max(fanout_, fanout);
+    next_fanout_ = std::max(next_fanout_, fanout);
 }
 
 /// More nodes than a round of rumors tells, and without the records that are due with it: each of those would be told
 /// to as many at once, and be dropped early for being known.
-void Gossip::spreadTable() {
+void Gossip::pushTable() {
     for (const auto& node : randomNodes(knobs_.table_fanout)) {
-        tell(node, {});
+        sendRumors(node, {});
     }
-    spread(kTableRumor, knobs_.rumor_fanout, Duration::zero());
+    queueRumor(kTableRumor, knobs_.rumor_fanout, Duration::zero());
 }
 
-void Gossip::tellRumors() {
-    const auto fanout = std::exchange(fanout_, 0);
-    const auto names = rumors_.next(knobs_.most_records);
+void Gossip::sendRumorRound() {
+    const auto fanout = std::exchange(next_fanout_, 0);
+    const auto names = rumors_.next(knobs_.max_records);
     for (const auto& node : randomNodes(fanout)) {
-        tell(node, names);
+        sendRumors(node, names);
     }
     if (!rumors_.empty()) {
-        fanout_ = knobs_.rumor_fanout;
-        rumor_timer_ = clock_.startTimer(spreadOut(knobs_.rumor_interval), [this] { tellRumors(); });
+        next_fanout_ = knobs_.rumor_fanout;
+        rumor_timer_ = clock_.startTimer(jitter(knobs_.rumor_interval), [this] { sendRumorRound(); });
     }
 }
 
-void Gossip::tell(const std::string& node, const std::vector<std::string>& names) {
-    auto rumor = message();
+void Gossip::sendRumors(const std::string& node, const std::vector<std::string>& names) {
+    auto rumor = makeMessage();
     rumor.set_is_rumor(true);
-    std::vector<std::string> told;
+    std::vector<std::string> sent_names;
     for (const auto& name : names) {
-        rumors_.onTold(name);
+        rumors_.onSent(name);
         if (const auto* record = directory_.record(name)) {
             *rumor.add_records() = *record;
-            told.push_back(name);
+            sent_names.push_back(name);
         }
     }
-    send(node, rumor, [this, told = std::move(told)](const wire::Gossip* answer) { onTold(told, answer); });
+    send(node, rumor, [this, sent_names = std::move(sent_names)](const wire::Gossip* response) {
+        onRumorResponse(sent_names, response);
+    });
 }
 
-void Gossip::onTold(const std::vector<std::string>& names, const wire::Gossip* answer) {
-    if (answer == nullptr) {
+void Gossip::onRumorResponse(const std::vector<std::string>& names, const wire::Gossip* response) {
+    if (response == nullptr) {
         return;
     }
-    for (const auto place : answer->known()) {
-        if (place < names.size()) {
-            rumors_.onUseless(names[place]);
+    for (const auto index : response->known()) {
+        if (index < names.size()) {
+            rumors_.onAlreadyKnown(names[index]);
         }
     }
-    if (answer->table_version() >= table_.version()) {
-        rumors_.onUseless(kTableRumor);
+    if (response->table_version() >= table_.version()) {
+        rumors_.onAlreadyKnown(kTableRumor);
     }
 }
 
 // Exchanges ------------------------------------------------------------------
 
-void Gossip::introduceSelf() {
-    spread(directory_.self().name(), knobs_.first_fanout, Duration::zero());
-    for (const auto& name : randomNodes(knobs_.first_exchanges)) {
+void Gossip::announceSelf() {
+    queueRumor(directory_.self().name(), knobs_.self_change_fanout, Duration::zero());
+    for (const auto& name : randomNodes(knobs_.initial_exchanges)) {
         exchangeWith(name);
     }
 }
@@ -160,43 +163,43 @@
     if (directory_.find(name) == nullptr || !exchanging_.insert(name).second) {
         return;
     }
-    auto exchange = message();
+    auto exchange = makeMessage();
     exchange.set_directory_hash(directory_.hash());
-    if (asked_for_table_.size() < knobs_.most_table_requests) {
+    if (table_requests_.size() < knobs_.max_table_requests) {
         exchange.set_is_table_wanted(true);
-        asked_for_table_.insert(name);
+        table_requests_.insert(name);
     }
-    send(name, exchange, [this, name](const wire::Gossip* answer) {
-        if (answer != nullptr && answer->is_digest_wanted()) {
-            asked_for_table_.erase(name);
+    send(name, exchange, [this, name](const wire::Gossip* response) {
+        if (response != nullptr && response->is_digest_wanted()) {
+            table_requests_.erase(name);
             sendDigest(name);
         } else {
-            exchangeEnded(name);
+            onExchangeEnded(name);
         }
     });
 }
 
-void Gossip::exchangeEnded(const std::string& name) {
+void Gossip::onExchangeEnded(const std::string& name) {
     exchanging_.erase(name);
-    asked_for_table_.erase(name);
+    table_requests_.erase(name);
 }
 
 void Gossip::sendDigest(const std::string& name) {
-    auto exchange = message();
+    auto exchange = makeMessage();
     for (auto& version : directory_.digest()) {
         *exchange.add_digest() = std::move(version);
     }
-    send(name, exchange, [this, name](const wire::Gossip* answer) {
-        exchangeEnded(name);
-        if (answer != nullptr && answer->wanted_size() > 0) {
-            sendWanted(name, *answer);
+    send(name, exchange, [this, name](const wire::Gossip* response) {
+        onExchangeEnded(name);
+        if (response != nullptr && response->wanted_size() > 0) {
+            sendRequested(name, *response);
         }
     });
 }
 
-void Gossip::sendWanted(const std::string& name, const wire::Gossip& answer) {
-    auto reply = message();
-    for (const auto& wanted : answer.wanted()) {
+void Gossip::sendRequested(const std::string& name, const wire::Gossip& response) {
+    auto reply = makeMessage();
+    for (const auto& wanted : response.wanted()) {
         if (const auto* record = directory_.record(wanted)) {
             *reply.add_records() = *record;
         }
@@ -204,32 +207,33 @@
     send(name, reply, nullptr);
 }
 
-void Gossip::askForTableAge(std::size_t nodes) {
+void Gossip::requestTableAge(std::size_t nodes) {
     for (const auto& name : randomNodes(nodes)) {
-        send(name, message(), nullptr);
+        send(name, makeMessage(), nullptr);
     }
 }
 
 void Gossip::contact(const std::string& address, std::function<void(bool)> done) {
-    sendTo(address, "", message(), knobs_.timeout, [this, done = std::move(done)](const wire::Gossip* answer) {
-        const bool is_other = answer != nullptr && answer->sender() != directory_.self().name();
+    sendTo(address, "", makeMessage(), knobs_.timeout, [this, done = std::move(done)](const wire::Gossip* response) {
+        const bool is_other = response != nullptr && response->sender() != directory_.self().name();
         if (is_other) {
-            spread(directory_.self().name(), knobs_.first_fanout, Duration::zero());
-            exchangeWith(answer->sender());
+            queueRumor(directory_.self().name(), knobs_.self_change_fanout, Duration::zero());
+            exchangeWith(response->sender());
         }
         done(is_other);
     });
 }
 
 void Gossip::probe(const std::string& name, Duration timeout, std::function<void(bool)> done) {
-    send(name, message(), timeout, [done = std::move(done)](const wire::Gossip* answer) { done(answer != nullptr); });
+    send(name, makeMessage(), timeout,
+         [done = std::move(done)](const wire::Gossip* response) { done(response != nullptr); });
 }
 
-void Gossip::send(const std::string& name, const wire::Gossip& message, Sent done) {
+void Gossip::send(const std::string& name, const wire::Gossip& message, OnResponse done) {
     send(name, message, knobs_.timeout, std::move(done));
 }
 
-void Gossip::send(const std::string& name, const wire::Gossip& message, Duration timeout, Sent done) {
+void Gossip::send(const std::string& name, const wire::Gossip& message, Duration timeout, OnResponse done) {
     if (const auto* node = directory_.find(name)) {
         sendTo(node->record.address(), name, message, timeout, std::move(done));
     }
@@ -237,82 +241,83 @@
 
 /// @param name of the node that is to answer; empty if any may.
 void Gossip::sendTo(const std::string& address, const std::string& name, const wire::Gossip& message, Duration timeout,
-                    Sent done) {
+                    OnResponse done) {
     HttpRequest request;
     request.method = "POST";
     request.path = std::string(kGossipPath);
     request.headers.set("Content-Type", "application/x-protobuf");
     request.body = message.SerializeAsString();
-    const auto number = ++last_number_;
+    const auto number = ++last_attempt_id_;
     in_flight_[number] =
         nodes_.send(address, std::move(request), timeout,
                     [this, number, name, sent = clock_.now(), done = std::move(done)](const AttemptResult& result) {
                         const auto ended = in_flight_.extract(number);
-                        onAnswer(name, sent, result, done);
+                        onResponse(name, sent, result, done);
                     });
 }
 
 /// What another node answers at the address is its own word, and none of the node that was asked.
-void Gossip::onAnswer(const std::string& name, TimePoint sent, const AttemptResult& result, const Sent& done) {
-    wire::Gossip answer;
+void Gossip::onResponse(const std::string& name, TimePoint sent, const AttemptResult& result, const OnResponse& done) {
+    wire::Gossip response;
     const bool is_answered = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
-                             answer.ParseFromString(result.answer.body);
-    const bool is_its_own =
-        is_answered && (answer.sender() == name || name.empty() || knobs_.weakening.trusts_any_answer);
-    if (is_its_own && !name.empty()) {
+                             response.ParseFromString(result.answer.body);
+    const bool is_expected_sender =
+        is_answered && (response.sender() == name || name.empty() || knobs_.weakening.trusts_any_answer);
+    if (is_expected_sender && !name.empty()) {
         directory_.onReached(name);
     }
     if (is_answered) {
-        directory_.addAddress(answer.sender(), "", answer.sender_address());
-        directory_.onReached(answer.sender());
-        mergeAll(answer, nullptr);
-        if (answer.has_table_age_us()) {
-            const Duration age(static_cast<std::int64_t>(answer.table_age_us()));
-            lease_.onPeer(sent, age, answer.table_version(), table_.version());
+        directory_.addAddress(response.sender(), "", response.sender_address());
+        directory_.onReached(response.sender());
+        mergeMessage(response, nullptr);
+        if (response.has_table_age_us()) {
+            const Duration age(static_cast<std::int64_t>(response.table_age_us()));
+            lease_.onPeer(sent, age, response.table_version(), table_.version());
         }
     }
-    if (is_answered && !is_its_own) {
-        log_.write(Event("node_displaced").with("peer", name).with("by", answer.sender()));
-        directory_.onDisplaced(name);
+    if (is_answered && !is_expected_sender) {
+        log_.write(Event("node_displaced").with("peer", name).with("by", response.sender()));
+        directory_.onSuperseded(name);
     } else if (!is_answered) {
         directory_.onUnreachable(name);
     }
     if (done) {
-        done(is_its_own ? &answer : nullptr);
+        done(is_expected_sender ? &response : nullptr);
     }
 }
 
 /// Whoever answers at the address holds it, the other one does not.
-void Gossip::settleAddress(const std::string& former, const std::string& latter) {
-    probe(former, knobs_.timeout, [this, former, latter](bool is_former) {
-        const auto* one = directory_.find(former);
-        const auto* other = directory_.find(latter);
-        const bool is_shared = one != nullptr && other != nullptr && one->record.address() == other->record.address();
+void Gossip::resolveAddressConflict(const std::string& previous, const std::string& claimant) {
+    probe(previous, knobs_.timeout, [this, previous, claimant](bool is_former) {
+        const auto* first = directory_.find(previous);
+        const auto* second = directory_.find(claimant);
+        const bool is_shared =
+            first != nullptr && second != nullptr && first->record.address() == second->record.address();
         if (is_former && is_shared) {
-            directory_.onDisplaced(latter);
+            directory_.onSuperseded(claimant);
         }
     });
 }
 
 /// @param reply told which records were no news; null for an answer.
-void Gossip::mergeAll(const wire::Gossip& message, wire::Gossip* reply) {
-    for (int place = 0; place < message.records_size(); ++place) {
-        const auto& record = message.records(place);
-        const bool is_news = directory_.merge(record);
-        if (is_news && message.is_rumor()) {
-            spread(record.name(), knobs_.rumor_fanout, spreadOut(knobs_.rumor_interval));
-        } else if (!is_news && reply != nullptr && message.is_rumor()) {
-            reply->add_known(static_cast<std::uint32_t>(place));
+void Gossip::mergeMessage(const wire::Gossip& message, wire::Gossip* reply) {
+    for (int index = 0; index < message.records_size(); ++index) {
+        const auto& record = message.records(index);
+        const bool is_new = directory_.merge(record);
+        if (is_new && message.is_rumor()) {
+            queueRumor(record.name(), knobs_.rumor_fanout, jitter(knobs_.rumor_interval));
+        } else if (!is_new && reply != nullptr && message.is_rumor()) {
+            reply->add_known(static_cast<std::uint32_t>(index));
         }
     }
     directory_.onTableVersion(message.sender(), message.table_version());
     onStoreEra(message.store_era());
     if (message.has_table()) {
-        adopt(message.table(), message.sender());
+        adoptTable(message.table(), message.sender());
     }
 }
 
-void Gossip::adopt(const wire::RouteTable& table, const std::string& from) {
+void Gossip::adoptTable(const wire::RouteTable& table, const std::string& from) {
     if (table_.adopt(table)) {
         log_.write(Event("table_adopted").with("version", table.version()).with("from", from));
     }
@@ -322,10 +327,10 @@
     if (era <= store_era_ || knobs_.weakening.ignores_store_era) {
         return;
     }
-    const auto former = std::exchange(store_era_, era);
-    if (former > 0) {
+    const auto previous = std::exchange(store_era_, era);
+    if (previous > 0) {
         log_.write(Event("store_returned").with("era", era));
-        signal_store_returned_.emit();
+        signal_store_restored_.emit();
     }
 }
 
@@ -337,17 +342,17 @@
 }
 
 HttpAnswer Gossip::handle(const HttpRequest& request) {
-    HttpAnswer answer;
+    HttpAnswer response;
     wire::Gossip received;
     if (!received.ParseFromString(request.body)) {
         log_.write(Event("gossip_refused").with("step", "parse").with("bytes", request.body.size()));
-        answer.status = kHttpBadRequest;
-        return answer;
+        response.status = kHttpBadRequest;
+        return response;
     }
     directory_.addAddress(received.sender(), "", received.sender_address());
-    directory_.onHeard(received.sender());
-    auto reply = message();
-    mergeAll(received, &reply);
+    directory_.onMessageReceived(received.sender());
+    auto reply = makeMessage();
+    mergeMessage(received, &reply);
     if (received.digest_size() > 0) {
         const auto difference = directory_.differenceTo({received.digest().begin(), received.digest().end()});
         for (const auto& record : difference.newer) {
@@ -364,9 +369,9 @@
     if (table_.onVersionSeen(received.table_version())) {
         exchangeWith(received.sender());
     }
-    answer.status = kHttpOk;
-    answer.body = reply.SerializeAsString();
-    return answer;
+    response.status = kHttpOk;
+    response.body = reply.SerializeAsString();
+    return response;
 }
 
 }  // namespace dewcrank::fleet
--- a/src/fleet/gossip.h
+++ b/src/fleet/gossip.h
@@ -32,15 +32,15 @@
     Duration interval = 700ms;
     Duration timeout = 600ms;
     RumorKnobs rumors;
-    Duration rumor_interval = 100ms;  ///< Between two rounds while there is something to tell.
-    std::size_t rumor_fanout = 2;     ///< Nodes that are told in a round.
-    std::size_t table_fanout = 3;     ///< Nodes that are told of a new table before its first round.
-    std::size_t first_fanout = 8;     ///< The same for the first round of a node's own change.
-    std::size_t most_records = 64;    ///< In a message.
+    Duration rumor_interval = 100ms;     ///< Between two rounds while there is something to tell.
+    std::size_t rumor_fanout = 2;        ///< Nodes that are told in a round.
+    std::size_t table_fanout = 3;        ///< Nodes that are told of a new table before its first round.
+    std::size_t self_change_fanout = 8;  ///< The same for the first round of a node's own change.
+    std::size_t max_records = 64;        ///< In a message.
     /// Nodes, at random, with which a starting node exchanges all.
-    std::size_t first_exchanges = 4;
+    std::size_t initial_exchanges = 4;
     /// Nodes that are asked for the table at the same time: it is large, and one may be dead.
-    std::size_t most_table_requests = 3;
+    std::size_t max_table_requests = 3;
     Weakening weakening;  ///< Tests only.
 };
 
@@ -54,9 +54,9 @@
     /// Answers another node's message.
     HttpAnswer handle(const HttpRequest& request);
     /// Makes this node known, and learns from some of those that it knows.
-    void introduceSelf();
+    void announceSelf();
     /// Asks some nodes how fresh their tables are.
-    void askForTableAge(std::size_t nodes);
+    void requestTableAge(std::size_t nodes);
     /// Asks whoever answers at an address who it is, and exchanges all with it. `done` is called once, with whether
     /// another node has answered in time.
     void contact(const std::string& address, std::function<void(bool)> done);
@@ -65,7 +65,7 @@
     /// The store has told its era, here or to another node.
     void onStoreEra(std::uint64_t era);
     /// Emitted when the store is known to have come back from an older copy, at each node once for each time.
-    sigc::signal<void()>& signalStoreReturned() { return signal_store_returned_; }
+    sigc::signal<void()>& signalStoreRestored() { return signal_store_restored_; }
     [[nodiscard]] std::uint64_t storeEra() const { return store_era_; }
     /// A node has told its table's version, here or beside a call.
     void onTableVersionSeen(const std::string& name, std::uint64_t version);
@@ -74,28 +74,28 @@
     void probe(const std::string& name, Duration timeout, std::function<void(bool)> done);
 
 private:
-    using Sent = std::function<void(const wire::Gossip*)>;
+    using OnResponse = std::function<void(const wire::Gossip*)>;
     void scheduleNext();
-    Duration spreadOut(Duration interval);
+    Duration jitter(Duration interval);
     void tick();
-    void spread(const std::string& name, std::size_t fanout, Duration wait);
-    void spreadTable();
-    void tellRumors();
-    void tell(const std::string& node, const std::vector<std::string>& names);
-    void onTold(const std::vector<std::string>& names, const wire::Gossip* answer);
-    [[nodiscard]] wire::Gossip message() const;
-    void send(const std::string& name, const wire::Gossip& message, Sent done);
-    void send(const std::string& name, const wire::Gossip& message, Duration timeout, Sent done);
+    void queueRumor(const std::string& name, std::size_t fanout, Duration wait);
+    void pushTable();
+    void sendRumorRound();
+    void sendRumors(const std::string& node, const std::vector<std::string>& names);
+    void onRumorResponse(const std::vector<std::string>& names, const wire::Gossip* response);
+    [[nodiscard]] wire::Gossip makeMessage() const;
+    void send(const std::string& name, const wire::Gossip& message, OnResponse done);
+    void send(const std::string& name, const wire::Gossip& message, Duration timeout, OnResponse done);
     void sendTo(const std::string& address, const std::string& name, const wire::Gossip& message, Duration timeout,
-                Sent done);
-    void onAnswer(const std::string& name, TimePoint sent, const AttemptResult& result, const Sent& done);
-    void settleAddress(const std::string& former, const std::string& latter);
-    void mergeAll(const wire::Gossip& message, wire::Gossip* reply);
+                OnResponse done);
+    void onResponse(const std::string& name, TimePoint sent, const AttemptResult& result, const OnResponse& done);
+    void resolveAddressConflict(const std::string& previous, const std::string& claimant);
+    void mergeMessage(const wire::Gossip& message, wire::Gossip* reply);
     void sendDigest(const std::string& name);
-    void sendWanted(const std::string& name, const wire::Gossip& answer);
-    void adopt(const wire::RouteTable& table, const std::string& from);
-    std::vector<std::string> randomNodes(std::size_t most);
-    void exchangeEnded(const std::string& name);
+    void sendRequested(const std::string& name, const wire::Gossip& response);
+    void adoptTable(const wire::RouteTable& table, const std::string& from);
+    std::vector<std::string> randomNodes(std::size_t limit);
+    void onExchangeEnded(const std::string& name);
 
     Clock& clock_;
     RandomSource& random_;
@@ -106,13 +106,13 @@
     policy::TableLease& lease_;
     GossipKnobs knobs_;
     std::set<std::string> exchanging_;
-    std::set<std::string> asked_for_table_;  ///< Part of the former; most_table_requests at most.
+    std::set<std::string> table_requests_;  ///< Part of the former; max_table_requests at most.
     std::map<std::uint64_t, AttemptHandle> in_flight_;
-    std::uint64_t last_number_ = 0;
+    std::uint64_t last_attempt_id_ = 0;
     RumorQueue rumors_;
     std::uint64_t store_era_ = 0;  ///< The greatest that is known; 0: none.
-    sigc::signal<void()> signal_store_returned_;
-    std::size_t fanout_ = 0;  ///< Of the next round; 0 while none is due.
+    sigc::signal<void()> signal_store_restored_;
+    std::size_t next_fanout_ = 0;  ///< Of the next round; 0 while none is due.
     TimerHandle tick_timer_;
     TimerHandle rumor_timer_;
 };
--- a/src/fleet/node_directory.cc
+++ b/src/fleet/node_directory.cc
@@ -38,60 +38,60 @@
 
 /// Replaces a record, and keeps what is worked out from the records. The hash is a sum, which does
 /// not depend on the order in which records are kept.
-void NodeDirectory::change(wire::NodeRecord* record, const wire::NodeRecord& next) {
+void NodeDirectory::replaceRecord(wire::NodeRecord* record, const wire::NodeRecord& next) {
     hash_ -= record->name().empty() ? 0 : hashOf(*record);
     *record = next;
     hash_ += hashOf(*record);
 }
 
 /// The same for another node's, whose places in the indexes follow its service and its zone.
-void NodeDirectory::changeOther(KnownNode* known, const wire::NodeRecord& next) {
-    const auto former_service = known->record.instance().service();
-    const auto former_zone = known->record.zone();
-    change(&known->record, next);
+void NodeDirectory::replaceOtherRecord(KnownNode* known, const wire::NodeRecord& next) {
+    const auto old_service = known->record.instance().service();
+    const auto old_zone = known->record.zone();
+    replaceRecord(&known->record, next);
     std::erase(shard_owners_, known);
     if (next.quota_shards_size() > 0) {
         shard_owners_.push_back(known);
     }
-    changeService(known, former_service);
-    changeZone(known, former_zone);
+    updateServiceIndex(known, old_service);
+    updateZoneIndex(known, old_zone);
 }
 
-void NodeDirectory::changeService(KnownNode* known, const std::string& former) {
+void NodeDirectory::updateServiceIndex(KnownNode* known, const std::string& previous) {
     const auto& service = known->record.instance().service();
-    if (service == former) {
+    if (service == previous) {
         return;
     }
-    const auto place = [&](std::vector<const KnownNode*>& nodes) {
+    const auto position = [&](std::vector<const KnownNode*>& nodes) {
         return std::lower_bound(nodes.begin(), nodes.end(), known->record.name(),
                                 [](const KnownNode* it, const std::string& name) { return it->record.name() < name; });
     };
-    if (!former.empty()) {
-        auto& nodes = by_service_[former];
-        nodes.erase(place(nodes));
-        --with_instance_;
+    if (!previous.empty()) {
+        auto& nodes = by_service_[previous];
+        nodes.erase(position(nodes));
+        --instance_count_;
     }
     if (!service.empty()) {
         auto& nodes = by_service_[service];
-        nodes.insert(place(nodes), known);
-        ++with_instance_;
+        nodes.insert(position(nodes), known);
+        ++instance_count_;
     }
 }
 
-void NodeDirectory::changeZone(KnownNode* known, const std::string& former) {
+void NodeDirectory::updateZoneIndex(KnownNode* known, const std::string& previous) {
     const auto& zone = known->record.zone();
-    if (zone == former) {
+    if (zone == previous) {
         return;
     }
-    if (!former.empty()) {
-        std::erase(by_zone_[former], known);
+    if (!previous.empty()) {
+        std::erase(by_zone_[previous], known);
     }
     if (!zone.empty()) {
         known->rank = rankOf(known->record.name());
         auto& nodes = by_zone_[zone];
-        const auto place =
+        const auto position =
             std::find_if(nodes.begin(), nodes.end(), [known](const auto* it) { return it->rank < known->rank; });
-        nodes.insert(place, known);
+        nodes.insert(position, known);
     }
 }
 
@@ -102,7 +102,7 @@
     auto next = self_;
     *next.mutable_instance() = instance;
     next.set_is_stopping(is_stopping);
-    changeSelf(next);
+    replaceSelf(next);
 }
 
 void NodeDirectory::setQuotaShards(const std::vector<std::uint32_t>& shards,
@@ -111,22 +111,22 @@
     next.mutable_quota_shards()->Assign(shards.begin(), shards.end());
     next.mutable_offered_shards()->Assign(offered.begin(), offered.end());
     if (next.SerializeAsString() != self_.SerializeAsString()) {
-        changeSelf(next);
+        replaceSelf(next);
     }
 }
 
-void NodeDirectory::setStoreAway(bool is_away) {
-    if (is_away != self_.is_store_away()) {
+void NodeDirectory::setStoreUnreachable(bool is_unreachable) {
+    if (is_unreachable != self_.is_store_away()) {
         auto next = self_;
-        next.set_is_store_away(is_away);
-        changeSelf(next);
+        next.set_is_store_away(is_unreachable);
+        replaceSelf(next);
     }
 }
 
-void NodeDirectory::changeSelf(const wire::NodeRecord& next) {
+void NodeDirectory::replaceSelf(const wire::NodeRecord& next) {
     auto numbered = next;
     numbered.set_sequence(self_.sequence() + 1);
-    change(&self_, numbered);
+    replaceRecord(&self_, numbered);
     signal_self_changed_.emit();
 }
 
@@ -137,13 +137,13 @@
         return;
     }
     if (record.address() == self_.address()) {
-        knownNode(record.name()).is_displaced = true;
+        findOrAdd(record.name()).is_superseded = true;
         return;
     }
-    auto& holder = name_at_[record.address()];
-    const auto former = std::exchange(holder, record.name());
-    if (!former.empty() && former != record.name()) {
-        signal_address_shared_.emit(former, record.name());
+    auto& holder = claimant_by_address_[record.address()];
+    const auto previous = std::exchange(holder, record.name());
+    if (!previous.empty() && previous != record.name()) {
+        signal_address_conflict_.emit(previous, record.name());
     }
 }
 
@@ -152,20 +152,20 @@
         refute(record);
         return false;
     }
-    auto& known = knownNode(record.name());
+    auto& known = findOrAdd(record.name());
     if (!known.record.name().empty() && !isNewer(record, known.record)) {
         return false;
     }
     if (record.incarnation() > known.record.incarnation()) {
         known.failures = 0;
         known.table_version = 0;
-        known.is_displaced = false;
+        known.is_superseded = false;
     }
-    const bool is_elsewhere = record.address() != known.record.address();
-    known.is_displaced = known.is_displaced && !is_elsewhere;
-    changeOther(&known, record);
+    const bool has_moved = record.address() != known.record.address();
+    known.is_superseded = known.is_superseded && !has_moved;
+    replaceOtherRecord(&known, record);
     known.received = clock_.now();
-    if (is_elsewhere) {
+    if (has_moved) {
         claimAddress(record);
     }
     signal_changed_.emit(record.name());
@@ -178,7 +178,7 @@
     if (isNewer(record, self_)) {
         auto next = self_;
         next.set_incarnation(record.incarnation() + 1);
-        change(&self_, next);
+        replaceRecord(&self_, next);
         signal_self_changed_.emit();
     }
 }
@@ -191,13 +191,13 @@
     record.set_name(name);
     record.set_zone(zone);
     record.set_address(address);
-    auto& known = knownNode(name);
-    changeOther(&known, record);
+    auto& known = findOrAdd(name);
+    replaceOtherRecord(&known, record);
     known.received = clock_.now();
     claimAddress(record);
 }
 
-const std::vector<const KnownNode*>& NodeDirectory::othersWith(const std::string& service) const {
+const std::vector<const KnownNode*>& NodeDirectory::othersWithService(const std::string& service) const {
     static const std::vector<const KnownNode*> none;
     const auto found = by_service_.find(service);
     return found == by_service_.end() ? none : found->second;
@@ -219,18 +219,18 @@
     return XXH3_64bits(name.data(), name.size());
 }
 
-KnownNode& NodeDirectory::knownNode(const std::string& name) {
+KnownNode& NodeDirectory::findOrAdd(const std::string& name) {
     auto& known = others_[name];
-    if (known.number == 0) {
-        by_number_.push_back(&known);
-        known.number = by_number_.size();
+    if (known.ordinal == 0) {
+        by_ordinal_.push_back(&known);
+        known.ordinal = by_ordinal_.size();
     }
     return known;
 }
 
-std::size_t NodeDirectory::numberOf(const std::string& name) const {
+std::size_t NodeDirectory::ordinalOf(const std::string& name) const {
     const auto* known = find(name);
-    return known == nullptr ? 0 : known->number;
+    return known == nullptr ? 0 : known->ordinal;
 }
 
 const KnownNode* NodeDirectory::find(const std::string& name) const {
@@ -239,31 +239,31 @@
 }
 
 Duration NodeDirectory::coldLeft(const KnownNode& node, TimePoint now) {
-    const auto told = std::chrono::milliseconds(node.record.instance().cold_left_ms());
-    return std::max<Duration>(Duration::zero(), told - (now - node.received));
+    const auto reported = std::chrono::milliseconds(node.record.instance().cold_left_ms());
+    return std::max<Duration>(Duration::zero(), reported - (now - node.received));
 }
 
-void NodeDirectory::onHeard(const std::string& name) {
+void NodeDirectory::onMessageReceived(const std::string& name) {
     if (const auto found = others_.find(name); found != others_.end()) {
         found->second.failures = 0;
-        found->second.last_heard = clock_.now();
-        last_heard_ = found->second.last_heard;
+        found->second.last_contact = clock_.now();
+        last_contact_ = found->second.last_contact;
     }
 }
 
 void NodeDirectory::onReached(const std::string& name) {
-    onHeard(name);
+    onMessageReceived(name);
     const auto found = others_.find(name);
-    if (found != others_.end() && found->second.is_displaced) {
-        found->second.is_displaced = false;
+    if (found != others_.end() && found->second.is_superseded) {
+        found->second.is_superseded = false;
         signal_changed_.emit(name);
     }
 }
 
-void NodeDirectory::onDisplaced(const std::string& name) {
+void NodeDirectory::onSuperseded(const std::string& name) {
     const auto found = others_.find(name);
-    if (found != others_.end() && !found->second.is_displaced) {
-        found->second.is_displaced = true;
+    if (found != others_.end() && !found->second.is_superseded) {
+        found->second.is_superseded = true;
         signal_changed_.emit(name);
     }
 }
@@ -304,23 +304,23 @@
 
 NodeDirectory::Difference NodeDirectory::differenceTo(const std::vector<wire::RecordVersion>& digest) const {
     Difference difference;
-    std::map<std::string, const wire::RecordVersion*> theirs;
+    std::map<std::string, const wire::RecordVersion*> remote;
     for (const auto& version : digest) {
-        theirs[version.name()] = &version;
-        const auto* mine = record(version.name());
-        if (mine == nullptr || isNewer(version, *mine)) {
+        remote[version.name()] = &version;
+        const auto* local = record(version.name());
+        if (local == nullptr || isNewer(version, *local)) {
             difference.older.push_back(version.name());
         }
     }
-    const auto consider = [&](const wire::NodeRecord& mine) {
-        const auto found = theirs.find(mine.name());
-        if (found == theirs.end() || isNewer(mine, *found->second)) {
-            difference.newer.push_back(mine);
+    const auto addIfNewer = [&](const wire::NodeRecord& local) {
+        const auto found = remote.find(local.name());
+        if (found == remote.end() || isNewer(local, *found->second)) {
+            difference.newer.push_back(local);
         }
     };
-    consider(self_);
+    addIfNewer(self_);
     for (const auto& [name, known] : others_) {
-        consider(known.record);
+        addIfNewer(known.record);
     }
     return difference;
 }
--- a/src/fleet/node_directory.h
+++ b/src/fleet/node_directory.h
@@ -18,13 +18,13 @@
 
 /// A node as known here: its record, and what this node has seen of it.
 struct KnownNode {
-    std::size_t number = 0;  ///< From 1 on, in the order in which nodes became known: for tables beside the directory.
+    std::size_t ordinal = 0;  ///< From 1 on, in the order in which nodes became known: for tables beside the directory.
     wire::NodeRecord record;
     TimePoint received{};             ///< When the record came; its cold time runs from then.
     std::uint64_t table_version = 0;  ///< The newest version it is known to have.
-    TimePoint last_heard{};           ///< When it last answered, or spoke.
+    TimePoint last_contact{};         ///< When it last answered, or spoke.
     std::uint32_t failures = 0;       ///< Contacts that failed in a row; over 0: it is suspected.
-    bool is_displaced = false;        ///< Another node has answered at its address since it was last heard there.
+    bool is_superseded = false;       ///< Another node has answered at its address since it was last heard there.
     std::uint64_t rank = 0;           ///< By a hash of its name; the greatest of a zone stands first.
 };
 
@@ -42,33 +42,33 @@
     /// @param offered those of them that others may take over.
     void setQuotaShards(const std::vector<std::uint32_t>& shards, const std::vector<std::uint32_t>& offered);
     /// Replaces what this node says of the store: true while its calls to it fail.
-    void setStoreAway(bool is_away);
+    void setStoreUnreachable(bool is_unreachable);
     /// Merges a record. @return true if it was news.
     bool merge(const wire::NodeRecord& record);
     /// A node whose record is not known yet, from the store's list.
     void addAddress(const std::string& name, const std::string& zone, const std::string& address);
 
     [[nodiscard]] const std::map<std::string, KnownNode>& others() const { return others_; }
-    [[nodiscard]] std::size_t otherCount() const { return by_number_.size(); }
+    [[nodiscard]] std::size_t otherCount() const { return by_ordinal_.size(); }
     /// One of the others. @param place below `otherCount`.
-    [[nodiscard]] const KnownNode& other(std::size_t place) const { return *by_number_[place]; }
+    [[nodiscard]] const KnownNode& other(std::size_t position) const { return *by_ordinal_[position]; }
     /// The other nodes beside whose instance, whatever its state, a service runs. Costs what is
     /// returned, not the fleet. Valid until the next change of the directory.
-    [[nodiscard]] const std::vector<const KnownNode*>& othersWith(const std::string& service) const;
+    [[nodiscard]] const std::vector<const KnownNode*>& othersWithService(const std::string& service) const;
     /// The other nodes of a zone, by rank. Valid until the next change of the directory.
     [[nodiscard]] const std::vector<const KnownNode*>& othersInZone(const std::string& zone) const;
     /// Zones of which a node is known, this node's own included.
     [[nodiscard]] std::size_t zoneCount() const;
     [[nodiscard]] static std::uint64_t rankOf(const std::string& name);
     /// When any other node last answered, or spoke; nothing if none ever has.
-    [[nodiscard]] std::optional<TimePoint> lastHeard() const { return last_heard_; }
+    [[nodiscard]] std::optional<TimePoint> lastContact() const { return last_contact_; }
     /// How many of the other nodes have an instance.
-    [[nodiscard]] std::size_t othersWithInstance() const { return with_instance_; }
+    [[nodiscard]] std::size_t otherInstanceCount() const { return instance_count_; }
     /// The other nodes that say that they own a shard of the quotas.
     [[nodiscard]] const std::vector<const KnownNode*>& shardOwners() const { return shard_owners_; }
     [[nodiscard]] const KnownNode* find(const std::string& name) const;
     /// The number of a node; 0 for this node, and for one that is not known.
-    [[nodiscard]] std::size_t numberOf(const std::string& name) const;
+    [[nodiscard]] std::size_t ordinalOf(const std::string& name) const;
     /// True if its instance takes calls.
     [[nodiscard]] static bool isServing(const wire::NodeRecord& record) {
         return !record.is_stopping() && record.instance().state() == wire::INSTANCE_READY;
@@ -76,16 +76,16 @@
     /// True from a failed contact on until the node has been reached or has started anew.
     [[nodiscard]] static bool isSuspected(const KnownNode& node) { return node.failures > 0; }
     /// False while it is suspected, or another node has its address.
-    [[nodiscard]] static bool isReachable(const KnownNode& node) { return !isSuspected(node) && !node.is_displaced; }
+    [[nodiscard]] static bool isReachable(const KnownNode& node) { return !isSuspected(node) && !node.is_superseded; }
     /// How much longer its instance is cold.
     [[nodiscard]] static Duration coldLeft(const KnownNode& node, TimePoint now);
 
     /// The node itself has answered at its address.
     void onReached(const std::string& name);
     /// The node has spoken. That was perhaps a while ago, before another one got its address.
-    void onHeard(const std::string& name);
+    void onMessageReceived(const std::string& name);
     /// Another node has answered at a node's address.
-    void onDisplaced(const std::string& name);
+    void onSuperseded(const std::string& name);
     void onUnreachable(const std::string& name);
     void onTableVersion(const std::string& name, std::uint64_t version);
 
@@ -107,36 +107,38 @@
     sigc::signal<void(const std::string&)>& signalSuspected() { return signal_suspected_; }
     /// Emitted with the names of two nodes that claim the same address, as soon as the second claim is known: one of
     /// them has gone, and only an answer from there shows which.
-    sigc::signal<void(const std::string&, const std::string&)>& signalAddressShared() { return signal_address_shared_; }
+    sigc::signal<void(const std::string&, const std::string&)>& signalAddressConflict() {
+        return signal_address_conflict_;
+    }
     /// Emitted when this node's own record has changed.
     sigc::signal<void()>& signalSelfChanged() { return signal_self_changed_; }
 
 private:
     using Index = std::map<std::string, std::vector<const KnownNode*>>;
     void refute(const wire::NodeRecord& record);
-    void change(wire::NodeRecord* record, const wire::NodeRecord& next);
-    KnownNode& knownNode(const std::string& name);
-    void changeOther(KnownNode* known, const wire::NodeRecord& next);
-    void changeService(KnownNode* known, const std::string& former);
-    void changeZone(KnownNode* known, const std::string& former);
+    void replaceRecord(wire::NodeRecord* record, const wire::NodeRecord& next);
+    KnownNode& findOrAdd(const std::string& name);
+    void replaceOtherRecord(KnownNode* known, const wire::NodeRecord& next);
+    void updateServiceIndex(KnownNode* known, const std::string& previous);
+    void updateZoneIndex(KnownNode* known, const std::string& previous);
     void claimAddress(const wire::NodeRecord& record);
-    void changeSelf(const wire::NodeRecord& next);
+    void replaceSelf(const wire::NodeRecord& next);
 
     Clock& clock_;
     wire::NodeRecord self_;
     std::map<std::string, KnownNode> others_;
-    std::vector<const KnownNode*> by_number_;  ///< The same; a node stands at its number less one.
-    std::uint64_t hash_;                       ///< Sum over the present records, this node's included.
-    Index by_service_;                         ///< Others with an instance, by its service; each list by name.
-    Index by_zone_;                            ///< Others whose zone is known; each list by rank.
-    std::optional<TimePoint> last_heard_;
+    std::vector<const KnownNode*> by_ordinal_;  ///< The same; a node stands at its number less one.
+    std::uint64_t hash_;                        ///< Sum over the present records, this node's included.
+    Index by_service_;                          ///< Others with an instance, by its service; each list by name.
+    Index by_zone_;                             ///< Others whose zone is known; each list by rank.
+    std::optional<TimePoint> last_contact_;
     std::vector<const KnownNode*> shard_owners_;
-    std::size_t with_instance_ = 0;  ///< All that stand in by_service_.
+    std::size_t instance_count_ = 0;  ///< All that stand in by_service_.
     sigc::signal<void(const std::string&)> signal_changed_;
     sigc::signal<void(const std::string&)> signal_suspected_;
-    sigc::signal<void(const std::string&, const std::string&)> signal_address_shared_;
+    sigc::signal<void(const std::string&, const std::string&)> signal_address_conflict_;
     sigc::signal<void()> signal_self_changed_;
-    std::map<std::string, std::string> name_at_;  ///< The node that last claimed an address.
+    std::map<std::string, std::string> claimant_by_address_;  ///< The node that last claimed an address.
 };
 
 }  // namespace dewcrank::fleet
--- a/src/fleet/replicas.cc
+++ b/src/fleet/replicas.cc
@@ -13,18 +13,18 @@
 
 Replicas replicasOf(const NodeDirectory& directory, const std::string& service) {
     const auto& self = directory.self();
-    Replicas found;
-    found.up = NodeDirectory::isServing(self) && self.instance().service() == service ? 1 : 0;
-    for (const auto* node : directory.othersWith(service)) {
+    Replicas replicas;
+    replicas.up = NodeDirectory::isServing(self) && self.instance().service() == service ? 1 : 0;
+    for (const auto* node : directory.othersWithService(service)) {
         const auto& record = node->record;
         if (NodeDirectory::isServing(record) && NodeDirectory::isReachable(*node)) {
-            ++found.up;
-            found.place += record.name() < self.name() ? 1 : 0;
+            ++replicas.up;
+            replicas.position += record.name() < self.name() ? 1 : 0;
         } else if (!isLeaving(record)) {
-            ++found.away;
+            ++replicas.unavailable;
         }
     }
-    return found;
+    return replicas;
 }
 
 }  // namespace dewcrank::fleet
--- a/src/fleet/replicas.h
+++ b/src/fleet/replicas.h
@@ -11,9 +11,9 @@
 
 /// Those that have not said that they leave.
 struct Replicas {
-    std::size_t up = 1;     ///< Ready, behind nodes that are reached. This node's own included, if it is.
-    std::size_t away = 0;   ///< All others: ended without a word, unreachable, or beside a node that is stopping.
-    std::size_t place = 0;  ///< Of this node's among those up, by the names of nodes: the same count at all of them.
+    std::size_t up = 1;           ///< Ready, behind nodes that are reached. This node's own included, if it is.
+    std::size_t unavailable = 0;  ///< All others: ended without a word, unreachable, or beside a node that is stopping.
+    std::size_t position = 0;  ///< Of this node's among those up, by the names of nodes: the same count at all of them.
 };
 
 /// Costs a walk over the nodes of the service.
--- a/src/fleet/rumor_queue.h
+++ b/src/fleet/rumor_queue.h
@@ -15,8 +15,8 @@
 
 /// Constants of the queue.
 struct RumorKnobs {
-    std::uint32_t most_useless = 2;  ///< Receivers that knew a rumor already, before it is dropped.
-    std::uint32_t most_told = 16;    ///< Receivers in all, also those that did not answer.
+    std::uint32_t max_already_known = 2;  ///< Receivers that knew a rumor already, before it is dropped.
+    std::uint32_t max_sends = 16;         ///< Receivers in all, also those that did not answer.
 };
 
 /// The rumors of one node: names of records that have changed here lately.
@@ -27,17 +27,17 @@
     /// It is news here: told from now on, from the beginning if it was told before.
     void add(const std::string& name) { rumors_[name] = {}; }
     /// The rumors that were told least often.
-    [[nodiscard]] std::vector<std::string> next(std::size_t most) const;
+    [[nodiscard]] std::vector<std::string> next(std::size_t limit) const;
     /// It was sent to another node.
-    void onTold(const std::string& name);
+    void onSent(const std::string& name);
     /// The other node has said that it knew.
-    void onUseless(const std::string& name);
+    void onAlreadyKnown(const std::string& name);
     [[nodiscard]] bool empty() const { return rumors_.empty(); }
 
 private:
     struct Rumor {
-        std::uint32_t told = 0;     ///< Below most_told.
-        std::uint32_t useless = 0;  ///< Below most_useless.
+        std::uint32_t sends = 0;          ///< Below max_sends.
+        std::uint32_t already_known = 0;  ///< Below max_already_known.
     };
     RumorKnobs knobs_;
     std::map<std::string, Rumor> rumors_;
--- a/src/fleet/zone_ranking.cc
+++ b/src/fleet/zone_ranking.cc
@@ -4,27 +4,27 @@
 
 namespace dewcrank::fleet {
 
-std::vector<const KnownNode*> ZoneRanking::ahead(std::size_t most) const {
+std::vector<const KnownNode*> ZoneRanking::predecessors(std::size_t limit) const {
     std::vector<const KnownNode*> found;
     const auto own = ownRank();
     for (const auto* node : directory_.othersInZone(directory_.self().zone())) {
-        if (node->rank < own || found.size() >= most) {
+        if (node->rank < own || found.size() >= limit) {
             break;
         }
-        if (counts(*node)) {
+        if (isActive(*node)) {
             found.push_back(node);
         }
     }
     return found;
 }
 
-const KnownNode* ZoneRanking::nearestAhead() const {
+const KnownNode* ZoneRanking::predecessor() const {
     const auto& nodes = directory_.othersInZone(directory_.self().zone());
     const auto own = ownRank();
-    const auto behind =
+    const auto own_position =
         std::partition_point(nodes.begin(), nodes.end(), [own](const auto* node) { return node->rank > own; });
-    const auto found =
-        std::find_if(std::make_reverse_iterator(behind), nodes.rend(), [](const auto* node) { return counts(*node); });
+    const auto found = std::find_if(std::make_reverse_iterator(own_position), nodes.rend(),
+                                    [](const auto* node) { return isActive(*node); });
     return found == nodes.rend() ? nullptr : *found;
 }
 
--- a/src/fleet/zone_ranking.h
+++ b/src/fleet/zone_ranking.h
@@ -16,12 +16,12 @@
     explicit ZoneRanking(const NodeDirectory& directory) : directory_(directory) {}
 
     /// The first nodes that stand before this one. Costs what is returned and the dead among them, not the zone.
-    [[nodiscard]] std::vector<const KnownNode*> ahead(std::size_t most) const;
+    [[nodiscard]] std::vector<const KnownNode*> predecessors(std::size_t limit) const;
     /// The node that stands just before this one; null if this one is the first.
-    [[nodiscard]] const KnownNode* nearestAhead() const;
+    [[nodiscard]] const KnownNode* predecessor() const;
 
 private:
-    [[nodiscard]] static bool counts(const KnownNode& node) {
+    [[nodiscard]] static bool isActive(const KnownNode& node) {
         return NodeDirectory::isReachable(node) && !node.record.is_stopping();
     }
     [[nodiscard]] std::uint64_t ownRank() const { return NodeDirectory::rankOf(directory_.self().name()); }
--- a/src/quarantine/exchange.cc
+++ b/src/quarantine/exchange.cc
@@ -35,7 +35,7 @@
 
 std::vector<std::string> Exchange::relays() const {
     std::vector<std::string> names;
-    for (const auto* node : directory_.othersWith(service_)) {
+    for (const auto* node : directory_.othersWithService(service_)) {
         names.push_back(node->record.name());
     }
     return names;
@@ -63,7 +63,7 @@
 
 /// A process that has just started knows nothing of what instances ended with before.
 void Exchange::askFirst() {
-    if (has_asked_ || directory_.othersWith(service_).empty()) {
+    if (has_asked_ || directory_.othersWithService(service_).empty()) {
         return;
     }
     has_asked_ = true;
--- a/src/quarantine/trial_gate.cc
+++ b/src/quarantine/trial_gate.cc
@@ -8,7 +8,7 @@
     const auto conditions = view_();
     const auto& replicas = conditions.replicas;
     const auto relays = replicas.up > knobs_.least_left ? replicas.up - knobs_.least_left : 1;
-    if (replicas.place >= relays) {
+    if (replicas.position >= relays) {
         return std::nullopt;
     }
     const bool has_ended_any = last_end_ != TimePoint::min();
@@ -19,7 +19,7 @@
 /// The others are taken to be as full as this relay's instance: requests go where there is most room.
 Duration TrialGate::pauseAfterEnd(const TrialConditions& now) const {
     const auto up = now.replicas.up;
-    const bool is_only_one = up + now.replicas.away <= 1;
+    const bool is_only_one = up + now.replicas.unavailable <= 1;
     if (is_only_one || up > knobs_.least_left + 1) {
         return {};
     }
--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -10,43 +10,43 @@
 namespace {
 
 /// A tenant that the owner's table does not have yet, or any more, is asked for again after this.
-constexpr std::uint32_t kUnknownTenantMs = 200;
+constexpr std::uint32_t kUnknownTenantRetryMs = 200;
 
 }  // namespace
 
 QuotaClient::QuotaClient(Clock& clock, RandomSource& random, EventLog& log, BackEndPort& nodes,
-                         const fleet::NodeDirectory& directory, const policy::RouteTable& table, ShardKeeper& keeper,
-                         QuotaClientKnobs knobs)
+                         const fleet::NodeDirectory& directory, const policy::RouteTable& table,
+                         ShardLeaseManager& lease_manager, QuotaClientKnobs knobs)
     : clock_(clock),
       random_(random),
       log_(log),
       nodes_(nodes),
       directory_(directory),
       table_(table),
-      keeper_(keeper),
+      lease_manager_(lease_manager),
       knobs_(knobs) {
-    keeper_.signalTakenOver().connect(
-        [this](std::uint32_t shard, const std::string& former) { takeOver(shard, former); });
+    lease_manager_.signalTakeover().connect(
+        [this](std::uint32_t shard, const std::string& previous_owner) { requestTakeover(shard, previous_owner); });
 }
 
-QuotaClient::Number QuotaClient::take(const wire::Tenant& tenant, Callback callback) {
-    const auto number = ++last_number_;
-    auto& waiter = waiters_[number];
-    waiter.tenant = tenant.name();
-    waiter.callback = std::move(callback);
-    for (std::uint32_t shard = 0; shard < kShards; ++shard) {
-        waiter.open |= isShardOf(tenant, shard) ? 1U << shard : 0;
+QuotaClient::RequestId QuotaClient::take(const wire::Tenant& tenant, Callback callback) {
+    const auto id = ++last_id_;
+    auto& pending = pending_[id];
+    pending.tenant = tenant.name();
+    pending.callback = std::move(callback);
+    for (std::uint32_t shard = 0; shard < kShardCount; ++shard) {
+        pending.untried_shards |= isShardOf(tenant, shard) ? 1U << shard : 0;
     }
-    queue(number);
-    return waiters_.contains(number) ? number : 0;
+    enqueue(id);
+    return pending_.contains(id) ? id : 0;
 }
 
-void QuotaClient::cancel(Number number) {
-    waiters_.erase(number);
+void QuotaClient::cancel(RequestId id) {
+    pending_.erase(id);
 }
 
 /// To its owner, unless that has another term by now.
-void QuotaClient::giveBack(const std::string& tenant, const Token& token) {
+void QuotaClient::returnToken(const std::string& tenant, const Token& token) {
     ++totals_.returned;
     auto& shard = shards_[token.shard];
     if (shard.term != token.term) {
@@ -55,25 +55,25 @@
     }
     ++shard.to_return[tenant];
     if (!return_timer_) {
-        return_timer_ = clock_.startTimer(knobs_.return_after, [this] {
+        return_timer_ = clock_.startTimer(knobs_.return_delay, [this] {
             return_timer_.reset();
-            for (std::uint32_t place = 0; place < kShards; ++place) {
-                ask(place);
+            for (std::uint32_t shard_index = 0; shard_index < kShardCount; ++shard_index) {
+                sendQueued(shard_index);
             }
         });
     }
 }
 
 const wire::NodeRecord* QuotaClient::ownerOf(std::uint32_t shard) const {
-    const auto names = [shard](const wire::NodeRecord& record) {
+    const auto owns = [shard](const wire::NodeRecord& record) {
         const auto& shards = record.quota_shards();
         return std::find(shards.begin(), shards.end(), shard) != shards.end();
     };
-    if (names(directory_.self())) {
+    if (owns(directory_.self())) {
         return &directory_.self();
     }
     for (const auto* node : directory_.shardOwners()) {
-        if (names(node->record) && fleet::NodeDirectory::isReachable(*node)) {
+        if (owns(node->record) && fleet::NodeDirectory::isReachable(*node)) {
             return &node->record;
         }
     }
@@ -81,11 +81,11 @@
 }
 
 /// Owners of this zone first: bytes between zones cost, and an answer from there takes longer.
-std::vector<std::uint32_t> QuotaClient::preference(std::uint32_t shards) {
+std::vector<std::uint32_t> QuotaClient::shardOrder(std::uint32_t shards) {
     std::vector<std::uint32_t> order;
-    const auto first = static_cast<std::uint32_t>(random_.below(kShards));
-    for (std::uint32_t step = 0; step < kShards; ++step) {
-        const auto shard = (first + step) % kShards;
+    const auto first = static_cast<std::uint32_t>(random_.below(kShardCount));
+    for (std::uint32_t step = 0; step < kShardCount; ++step) {
+        const auto shard = (first + step) % kShardCount;
         if ((shards & (1U << shard)) != 0) {
             order.push_back(shard);
         }
@@ -98,42 +98,42 @@
     return order;
 }
 
-void QuotaClient::queue(Number number) {
-    auto& waiter = waiters_.at(number);
+void QuotaClient::enqueue(RequestId id) {
+    auto& pending = pending_.at(id);
     const auto now = clock_.now();
-    const auto& tenant = tenants_[waiter.tenant];
-    if (waiter.asks < knobs_.most_asks) {
-        for (const auto place : preference(waiter.open)) {
-            auto& shard = shards_[place];
-            const bool is_open = shard.unavailable_until <= now && tenant.denied_until[place] <= now;
-            if (!is_open || ownerOf(place) == nullptr) {
+    const auto& tenant = tenants_[pending.tenant];
+    if (pending.owners_asked < knobs_.max_owners) {
+        for (const auto shard_index : shardOrder(pending.untried_shards)) {
+            auto& shard = shards_[shard_index];
+            const bool is_available = shard.unavailable_until <= now && tenant.denied_until[shard_index] <= now;
+            if (!is_available || ownerOf(shard_index) == nullptr) {
                 continue;
             }
-            waiter.open &= ~(1U << place);
-            ++waiter.asks;
-            shard.queued[waiter.tenant].push_back(number);
-            ask(place);
+            pending.untried_shards &= ~(1U << shard_index);
+            ++pending.owners_asked;
+            shard.queued[pending.tenant].push_back(id);
+            sendQueued(shard_index);
             return;
         }
     }
-    giveUp(number);
+    fail(id);
 }
 
-void QuotaClient::giveUp(Number number) {
-    const auto& waiter = waiters_.at(number);
+void QuotaClient::fail(RequestId id) {
+    const auto& pending = pending_.at(id);
     const auto now = clock_.now();
-    const auto& denied = tenants_[waiter.tenant].denied_until;
+    const auto& denied = tenants_[pending.tenant].denied_until;
     const bool is_denied =
-        waiter.was_denied || std::any_of(denied.begin(), denied.end(), [now](TimePoint until) { return until > now; });
+        pending.was_denied || std::any_of(denied.begin(), denied.end(), [now](TimePoint until) { return until > now; });
     TokenResult result;
-    result.answer = is_denied ? TokenAnswer::kBeyond : TokenAnswer::kUnknown;
-    result.retry_after = knobs_.least_retry_after;
-    ++(is_denied ? totals_.beyond : totals_.unknown);
-    end(number, result);
+    result.outcome = is_denied ? TokenOutcome::kOverLimit : TokenOutcome::kNoOwner;
+    result.retry_after = knobs_.min_retry_after;
+    ++(is_denied ? totals_.denied : totals_.no_owner);
+    complete(id, result);
 }
 
-void QuotaClient::end(Number number, const TokenResult& result) {
-    auto ended = waiters_.extract(number);
+void QuotaClient::complete(RequestId id, const TokenResult& result) {
+    auto ended = pending_.extract(id);
     if (!ended.empty()) {
         ended.mapped().callback(result);
     }
@@ -141,128 +141,130 @@
 
 // Questions ------------------------------------------------------------------
 
-wire::QuotaAsk QuotaClient::questionTo(std::uint32_t place) {
-    auto& shard = shards_[place];
-    wire::QuotaAsk question;
-    question.set_sender(directory_.self().name());
-    question.set_shard(place);
-    question.set_term(shard.term);
-    for (auto& [tenant, numbers] : shard.queued) {
-        std::erase_if(numbers, [this](Number number) { return !waiters_.contains(number); });
-        auto* line = question.add_lines();
+wire::QuotaAsk QuotaClient::makeRequest(std::uint32_t shard_index) {
+    auto& shard = shards_[shard_index];
+    wire::QuotaAsk quota_request;
+    quota_request.set_sender(directory_.self().name());
+    quota_request.set_shard(shard_index);
+    quota_request.set_term(shard.term);
+    for (auto& [tenant, ids] : shard.queued) {
+        std::erase_if(ids, [this](RequestId id) { return !pending_.contains(id); });
+        auto* line = quota_request.add_lines();
         line->set_tenant(tenant);
-        line->set_wanted(static_cast<std::uint32_t>(numbers.size()));
-        if (const auto back = shard.to_return.extract(tenant); !back.empty()) {
-            line->set_returned(back.mapped());
+        line->set_wanted(static_cast<std::uint32_t>(ids.size()));
+        if (const auto returned = shard.to_return.extract(tenant); !returned.empty()) {
+            line->set_returned(returned.mapped());
         }
     }
     for (const auto& [tenant, count] : shard.to_return) {
-        auto* line = question.add_lines();
+        auto* line = quota_request.add_lines();
         line->set_tenant(tenant);
         line->set_returned(count);
     }
     shard.to_return.clear();
-    return question;
+    return quota_request;
 }
 
-void QuotaClient::ask(std::uint32_t place) {
-    auto& shard = shards_[place];
-    if (shard.is_asking || (shard.queued.empty() && shard.to_return.empty())) {
+void QuotaClient::sendQueued(std::uint32_t shard_index) {
+    auto& shard = shards_[shard_index];
+    if (shard.is_request_in_flight || (shard.queued.empty() && shard.to_return.empty())) {
         return;
     }
-    const auto* owner = ownerOf(place);
+    const auto* owner = ownerOf(shard_index);
     if (owner == nullptr && shard.queued.empty()) {
         shard.to_return.clear();
         return;
     }
     if (owner == nullptr) {
-        shard.asked = std::exchange(shard.queued, {});
-        shard.is_asking = true;
-        shard.local = clock_.startTimer(Duration::zero(), [this, place] { onAnswer(place, nullptr); });
+        shard.in_flight = std::exchange(shard.queued, {});
+        shard.is_request_in_flight = true;
+        shard.local_timer =
+            clock_.startTimer(Duration::zero(), [this, shard_index] { onResponse(shard_index, nullptr); });
         return;
     }
-    const auto question = questionTo(place);
-    shard.asked = std::exchange(shard.queued, {});
-    shard.is_asking = true;
+    const auto quota_request = makeRequest(shard_index);
+    shard.in_flight = std::exchange(shard.queued, {});
+    shard.is_request_in_flight = true;
     if (owner == &directory_.self()) {
-        shard.local = clock_.startTimer(Duration::zero(), [this, place, question] {
-            const auto answer = grant(question);
-            onAnswer(place, &answer);
+        shard.local_timer = clock_.startTimer(Duration::zero(), [this, shard_index, quota_request] {
+            const auto response = grantTokens(quota_request);
+            onResponse(shard_index, &response);
         });
         return;
     }
-    ++totals_.asks;
-    send(place, *owner, question);
+    ++totals_.requests_sent;
+    sendToOwner(shard_index, *owner, quota_request);
 }
 
-void QuotaClient::send(std::uint32_t place, const wire::NodeRecord& owner, const wire::QuotaAsk& question) {
+void QuotaClient::sendToOwner(std::uint32_t shard_index, const wire::NodeRecord& owner,
+                              const wire::QuotaAsk& quota_request) {
     HttpRequest request;
     request.method = "POST";
     request.path = std::string(kQuotaPath);
-    request.body = question.SerializeAsString();
-    shards_[place].attempt = nodes_.send(
-        owner.address(), std::move(request), knobs_.ask_timeout, [this, place](const AttemptResult& result) {
-            const auto ended = std::exchange(shards_[place].attempt, nullptr);
-            wire::QuotaGrant answer;
+    request.body = quota_request.SerializeAsString();
+    shards_[shard_index].attempt = nodes_.send(
+        owner.address(), std::move(request), knobs_.request_timeout, [this, shard_index](const AttemptResult& result) {
+            const auto ended = std::exchange(shards_[shard_index].attempt, nullptr);
+            wire::QuotaGrant response;
             const bool is_answered = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
-                                     answer.ParseFromString(result.answer.body);
-            onAnswer(place, is_answered ? &answer : nullptr);
+                                     response.ParseFromString(result.answer.body);
+            onResponse(shard_index, is_answered ? &response : nullptr);
         });
 }
 
 /// Whoever does not own the shard, or does not answer, is left alone for a time.
-void QuotaClient::onAnswer(std::uint32_t place, const wire::QuotaGrant* answer) {
-    auto& shard = shards_[place];
-    shard.is_asking = false;
-    auto asked = std::exchange(shard.asked, {});
-    const bool is_owner = answer != nullptr && answer->is_owner();
+void QuotaClient::onResponse(std::uint32_t shard_index, const wire::QuotaGrant* response) {
+    auto& shard = shards_[shard_index];
+    shard.is_request_in_flight = false;
+    auto in_flight = std::exchange(shard.in_flight, {});
+    const bool is_owner = response != nullptr && response->is_owner();
     if (is_owner) {
-        for (const auto& line : answer->lines()) {
-            if (const auto found = asked.find(line.tenant()); found != asked.end()) {
-                onLine(place, answer->term(), line, &found->second);
+        for (const auto& line : response->lines()) {
+            if (const auto found = in_flight.find(line.tenant()); found != in_flight.end()) {
+                onGrant(shard_index, response->term(), line, &found->second);
             }
         }
     } else {
-        shard.unavailable_until = clock_.now() + knobs_.unavailable;
+        shard.unavailable_until = clock_.now() + knobs_.owner_backoff;
         log_.write(Event("quota_owner_unavailable")
-                       .with("shard", place)
-                       .with("reason", answer == nullptr ? "no-answer" : "not-the-owner"));
+                       .with("shard", shard_index)
+                       .with("reason", response == nullptr ? "no-answer" : "not-the-owner"));
     }
-    for (const auto& [tenant, numbers] : asked) {
-        for (const auto number : numbers) {
-            if (waiters_.contains(number)) {
-                queue(number);
+    for (const auto& [tenant, ids] : in_flight) {
+        for (const auto id : ids) {
+            if (pending_.contains(id)) {
+                enqueue(id);
             }
         }
     }
-    ask(place);
+    sendQueued(shard_index);
 }
 
 /// @param numbers those that asked; who got a token is taken out.
-void QuotaClient::onLine(std::uint32_t place, std::uint64_t term, const wire::QuotaGrant::Line& line,
-                         std::vector<Number>* numbers) {
+void QuotaClient::onGrant(std::uint32_t shard_index, std::uint64_t term, const wire::QuotaGrant::Line& line,
+                          std::vector<RequestId>* ids) {
     TokenResult result;
-    result.answer = TokenAnswer::kGranted;
-    result.token = {place, term};
+    result.outcome = TokenOutcome::kGranted;
+    result.token = {shard_index, term};
     auto left = line.granted();
-    for (const auto number : *numbers) {
+    for (const auto id : *ids) {
         if (left == 0) {
             break;
         }
-        if (waiters_.contains(number)) {
+        if (pending_.contains(id)) {
             --left;
             ++totals_.granted;
-            end(number, result);
+            complete(id, result);
         }
     }
     for (; left > 0; --left) {
-        giveBack(line.tenant(), result.token);  // Its caller has left meanwhile.
+        returnToken(line.tenant(), result.token);  // Its caller has left meanwhile.
     }
     if (line.next_ms() > 0) {
-        tenants_[line.tenant()].denied_until[place] = clock_.now() + std::chrono::milliseconds(line.next_ms());
-        for (const auto number : *numbers) {
-            if (const auto waiter = waiters_.find(number); waiter != waiters_.end()) {
-                waiter->second.was_denied = true;
+        tenants_[line.tenant()].denied_until[shard_index] = clock_.now() + std::chrono::milliseconds(line.next_ms());
+        for (const auto id : *ids) {
+            if (const auto pending = pending_.find(id); pending != pending_.end()) {
+                pending->second.was_denied = true;
             }
         }
     }
@@ -271,76 +273,77 @@
 // Answers --------------------------------------------------------------------
 
 /// The former owner of a shard is asked to stop. Without its answer its lease has to end.
-void QuotaClient::takeOver(std::uint32_t place, const std::string& former) {
-    const auto* node = directory_.find(former);
+void QuotaClient::requestTakeover(std::uint32_t shard_index, const std::string& previous_owner) {
+    const auto* node = directory_.find(previous_owner);
     if (node == nullptr || !fleet::NodeDirectory::isReachable(*node)) {
         return;
     }
-    wire::QuotaAsk question;
-    question.set_sender(directory_.self().name());
-    question.set_shard(place);
-    question.set_takes_over(true);
+    wire::QuotaAsk quota_request;
+    quota_request.set_sender(directory_.self().name());
+    quota_request.set_shard(shard_index);
+    quota_request.set_takes_over(true);
     HttpRequest request;
     request.method = "POST";
     request.path = std::string(kQuotaPath);
-    request.body = question.SerializeAsString();
-    takeovers_[place] = nodes_.send(
-        node->record.address(), std::move(request), knobs_.ask_timeout, [this, place](const AttemptResult& result) {
-            const auto ended = takeovers_.extract(place);
-            wire::QuotaGrant answer;
+    request.body = quota_request.SerializeAsString();
+    takeovers_[shard_index] = nodes_.send(
+        node->record.address(), std::move(request), knobs_.request_timeout,
+        [this, shard_index](const AttemptResult& result) {
+            const auto ended = takeovers_.extract(shard_index);
+            wire::QuotaGrant response;
             if (result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
-                answer.ParseFromString(result.answer.body)) {
-                keeper_.onHandedOver(place, answer.sender(), answer.incarnation());
+                response.ParseFromString(result.answer.body)) {
+                lease_manager_.onPreviousOwnerStopped(shard_index, response.sender(), response.incarnation());
             }
         });
 }
 
-wire::QuotaGrant QuotaClient::grant(const wire::QuotaAsk& question) {
-    wire::QuotaGrant answer;
-    answer.set_sender(directory_.self().name());
-    answer.set_incarnation(directory_.self().incarnation());
-    if (question.takes_over()) {
-        keeper_.handOver(question.shard());
-        return answer;
+wire::QuotaGrant QuotaClient::grantTokens(const wire::QuotaAsk& quota_request) {
+    wire::QuotaGrant response;
+    response.set_sender(directory_.self().name());
+    response.set_incarnation(directory_.self().incarnation());
+    if (quota_request.takes_over()) {
+        lease_manager_.relinquish(quota_request.shard());
+        return response;
     }
-    auto* shard = keeper_.granting(question.shard());
+    auto* shard = lease_manager_.grantableShard(quota_request.shard());
     if (shard == nullptr) {
-        return answer;
+        return response;
     }
-    answer.set_is_owner(true);
-    answer.set_term(keeper_.termOf(question.shard()));
-    const bool is_same_term = question.term() == answer.term();
-    for (const auto& line : question.lines()) {
+    response.set_is_owner(true);
+    response.set_term(lease_manager_.termOf(quota_request.shard()));
+    const bool is_same_term = quota_request.term() == response.term();
+    for (const auto& line : quota_request.lines()) {
         const auto* tenant = table_.tenantNamed(line.tenant());
-        auto* granted = answer.add_lines();
+        auto* granted = response.add_lines();
         if (knobs_.weakening.grants_beyond_quota) {
             granted->set_tenant(line.tenant());
             granted->set_granted(line.wanted());
         } else if (tenant == nullptr) {
             granted->set_tenant(line.tenant());
-            granted->set_next_ms(kUnknownTenantMs);
+            granted->set_next_ms(kUnknownTenantRetryMs);
         } else {
             *granted = shard->grant(clock_.now(), *tenant, line.wanted(), is_same_term ? line.returned() : 0);
         }
     }
-    return answer;
+    return response;
 }
 
 HttpAnswer QuotaClient::handle(const HttpRequest& request) {
-    HttpAnswer answer;
-    wire::QuotaAsk question;
-    if (!question.ParseFromString(request.body) || question.shard() >= kShards) {
+    HttpAnswer response;
+    wire::QuotaAsk quota_request;
+    if (!quota_request.ParseFromString(request.body) || quota_request.shard() >= kShardCount) {
         log_.write(Event("quota_question_refused").with("step", "parse").with("bytes", request.body.size()));
-        answer.status = kHttpBadRequest;
-        return answer;
+        response.status = kHttpBadRequest;
+        return response;
     }
-    const auto granted = grant(question);
+    const auto granted = grantTokens(quota_request);
     for (const auto& line : granted.lines()) {
-        totals_.lent += line.granted();
+        totals_.granted_to_peers += line.granted();
     }
-    answer.status = kHttpOk;
-    answer.body = granted.SerializeAsString();
-    return answer;
+    response.status = kHttpOk;
+    response.body = granted.SerializeAsString();
+    return response;
 }
 
 }  // namespace dewcrank::quota
--- a/src/quota/quota_shard.cc
+++ b/src/quota/quota_shard.cc
@@ -10,41 +10,41 @@
 namespace {
 
 /// A shard that held less than one token would never hand one out.
-constexpr double kLeastDepth = 1;
+constexpr double kMinDepth = 1;
 /// A tenant with a rate of nothing gets nothing; it is told to ask again after this.
-constexpr double kLongestWait = 10;  // seconds
+constexpr double kMaxWaitSeconds = 10;  // seconds
 /// Whoever asks the wrong shard goes by another version of the tenant's row.
-constexpr std::uint32_t kElsewhereMs = 200;
+constexpr std::uint32_t kWrongShardRetryMs = 200;
 
 /// Tokens that a shard holds at least when it is full, where a tenant has so many.
-constexpr double kTokensAShard = 8;
+constexpr double kMinTokensPerShard = 8;
 
 }  // namespace
 
-std::uint32_t shardsOf(const wire::Tenant& tenant) {
-    const double depth = std::max(tenant.burst(), kLeastDepth);
-    return static_cast<std::uint32_t>(std::clamp(std::floor(depth / kTokensAShard), 1.0, double{kShards}));
+std::uint32_t shardCountOf(const wire::Tenant& tenant) {
+    const double depth = std::max(tenant.burst(), kMinDepth);
+    return static_cast<std::uint32_t>(std::clamp(std::floor(depth / kMinTokensPerShard), 1.0, double{kShardCount}));
 }
 
 std::uint32_t firstShardOf(const std::string& tenant) {
-    return static_cast<std::uint32_t>(XXH3_64bits(tenant.data(), tenant.size()) % kShards);
+    return static_cast<std::uint32_t>(XXH3_64bits(tenant.data(), tenant.size()) % kShardCount);
 }
 
 bool isShardOf(const wire::Tenant& tenant, std::uint32_t shard) {
-    return (shard + kShards - firstShardOf(tenant.name())) % kShards < shardsOf(tenant);
+    return (shard + kShardCount - firstShardOf(tenant.name())) % kShardCount < shardCountOf(tenant);
 }
 
 std::uint32_t TokenBucket::take(TimePoint now, double rate, double depth, std::uint32_t wanted) {
-    level_ = std::min(depth, level_ + rate * toSeconds(std::max(Duration::zero(), now - filled_)));
-    filled_ = std::max(filled_, now);
-    const auto taken = std::min<double>(wanted, std::floor(level_));
-    level_ -= taken;
+    tokens_ = std::min(depth, tokens_ + rate * toSeconds(std::max(Duration::zero(), now - last_refill_)));
+    last_refill_ = std::max(last_refill_, now);
+    const auto taken = std::min<double>(wanted, std::floor(tokens_));
+    tokens_ -= taken;
     return static_cast<std::uint32_t>(taken);
 }
 
-Duration TokenBucket::untilNext(double rate) const {
-    const double missing = std::max(0.0, 1 - level_);
-    return fromSeconds(missing >= rate * kLongestWait ? kLongestWait : missing / rate);
+Duration TokenBucket::timeToNextToken(double rate) const {
+    const double missing = std::max(0.0, 1 - tokens_);
+    return fromSeconds(missing >= rate * kMaxWaitSeconds ? kMaxWaitSeconds : missing / rate);
 }
 
 wire::QuotaGrant::Line QuotaShard::grant(TimePoint now, const wire::Tenant& tenant, std::uint32_t wanted,
@@ -56,16 +56,16 @@
         return line;
     }
     if (!isShardOf(tenant, shard_)) {
-        line.set_next_ms(kElsewhereMs);
+        line.set_next_ms(kWrongShardRetryMs);
         return line;
     }
-    auto& bucket = buckets_.try_emplace(tenant.name(), began_).first->second;
-    const double rate = tenant.rate_per_s() / shardsOf(tenant);
-    const double depth = std::max(kLeastDepth, tenant.burst() / shardsOf(tenant));
-    bucket.giveBack(returned);
+    auto& bucket = buckets_.try_emplace(tenant.name(), term_start_).first->second;
+    const double rate = tenant.rate_per_s() / shardCountOf(tenant);
+    const double depth = std::max(kMinDepth, tenant.burst() / shardCountOf(tenant));
+    bucket.returnTokens(returned);
     line.set_granted(bucket.take(now, rate, depth, wanted));
     if (line.granted() < wanted) {
-        line.set_next_ms(static_cast<std::uint32_t>(toMilliseconds(bucket.untilNext(rate)) + 1));
+        line.set_next_ms(static_cast<std::uint32_t>(toMilliseconds(bucket.timeToNextToken(rate)) + 1));
     }
     return line;
 }
--- a/src/quota/quota_shard.h
+++ b/src/quota/quota_shard.h
@@ -17,12 +17,12 @@
 namespace dewcrank::quota {
 
 /// Shards of the quotas. While one of them has no owner, an eighth of a large tenant's limit is not to be had.
-inline constexpr std::uint32_t kShards = 8;
+inline constexpr std::uint32_t kShardCount = 8;
 
 /// How many shards a tenant's quota is divided over. Where a shard held less than a few tokens, one would often have
 /// none while others have: at eight shards of one token each a tenant at half of its limit was refused 0.19 of its
 /// requests, at one shard none (simulated, 2 requests a second over 20 nodes).
-std::uint32_t shardsOf(const wire::Tenant& tenant);
+std::uint32_t shardCountOf(const wire::Tenant& tenant);
 /// The first of them; the others follow in order, around.
 std::uint32_t firstShardOf(const std::string& tenant);
 /// True if a shard hands out tokens of a tenant.
@@ -32,17 +32,17 @@
 /// together stay within the rate.
 class TokenBucket {
 public:
-    explicit TokenBucket(TimePoint born) : filled_(born) {}
+    explicit TokenBucket(TimePoint start) : last_refill_(start) {}
     /// Takes so many whole tokens as there are. @param rate tokens a second. @param depth the most that it holds.
     std::uint32_t take(TimePoint now, double rate, double depth, std::uint32_t wanted);
     /// Tokens that were taken and not spent.
-    void giveBack(std::uint32_t tokens) { level_ += tokens; }
+    void returnTokens(std::uint32_t tokens) { tokens_ += tokens; }
     /// Until there is a whole token.
-    [[nodiscard]] Duration untilNext(double rate) const;
+    [[nodiscard]] Duration timeToNextToken(double rate) const;
 
 private:
-    TimePoint filled_;
-    double level_ = 0;
+    TimePoint last_refill_;
+    double tokens_ = 0;
 };
 
 /// Invariant: in every span of time t a shard hands out, over all terms of its owners, at most rate * t + depth tokens
@@ -50,7 +50,7 @@
 /// It needs terms that do not overlap (`ShardLease`).
 class QuotaShard {
 public:
-    QuotaShard(std::uint32_t shard, TimePoint term_began) : shard_(shard), began_(term_began) {}
+    QuotaShard(std::uint32_t shard, TimePoint term_start) : shard_(shard), term_start_(term_start) {}
 
     /// @param tenant as the table says now. @return tokens granted, and when there is one again.
     wire::QuotaGrant::Line grant(TimePoint now, const wire::Tenant& tenant, std::uint32_t wanted,
@@ -58,7 +58,7 @@
 
 private:
     std::uint32_t shard_;
-    TimePoint began_;
+    TimePoint term_start_;
     std::map<std::string, TokenBucket> buckets_;  ///< By tenant.
 };
 
--- a/src/relay/relay_service.cc
+++ b/src/relay/relay_service.cc
@@ -128,8 +128,8 @@
                    .with("request", running.id)
                    .with("fingerprint", quarantine::textOf(running.fingerprint))
                    .with("up", conditions.replicas.up)
-                   .with("away", conditions.replicas.away)
-                   .with("place", conditions.replicas.place)
+                   .with("away", conditions.replicas.unavailable)
+                   .with("place", conditions.replicas.position)
                    .with("use", conditions.use));
 }
 
@@ -147,10 +147,10 @@
         const auto wait = std::chrono::duration_cast<Duration>(remaining * knobs_.inner_wait_share);
         request->longest_wait = std::max(request->longest_wait, wait);
     }
-    QueueRequest place;
-    place.give_up_at = std::min(request->deadline, now + request->longest_wait);
-    place.order = is_continuing ? now : place.give_up_at + knobs_.priority_step * request->priority;
-    return place;
+    QueueRequest position;
+    position.give_up_at = std::min(request->deadline, now + request->longest_wait);
+    position.order = is_continuing ? now : position.give_up_at + knobs_.priority_step * request->priority;
+    return position;
 }
 
 void RelayService::enterQueue(Number number) {
--- a/src/sidecar/fleet_contacts.cc
+++ b/src/sidecar/fleet_contacts.cc
@@ -27,7 +27,7 @@
       seeds_(std::move(seeds)),
       pause_(knobs.first_pause) {
     // What was listed since the copy is gone; what was listed before does no harm.
-    gossip_.signalStoreReturned().connect([this] { is_listed_ = false; });
+    gossip_.signalStoreRestored().connect([this] { is_listed_ = false; });
 }
 
 void FleetContacts::start() {
@@ -61,7 +61,7 @@
 
 /// Ends as soon as another node is heard, whoever found whom.
 void FleetContacts::search(Search step) {
-    if (directory_.lastHeard()) {
+    if (directory_.lastContact()) {
         is_alone_ = false;
         log_.write(Event("fleet_joined").with("known", directory_.otherCount()));
         return;
@@ -115,7 +115,7 @@
 /// Listed nodes that do not answer may be starting as well: they are asked again a few times.
 void FleetContacts::ask(Search step, std::uint32_t rounds) {
     const auto nodes = draw();
-    if (nodes.empty() || rounds == 0 || directory_.lastHeard()) {
+    if (nodes.empty() || rounds == 0 || directory_.lastContact()) {
         onAsked(step);
         return;
     }
@@ -123,7 +123,7 @@
     for (const auto& it : nodes) {
         gossip_.contact(it.address, [this, step, rounds, waiting](bool) {
             if (--*waiting == 0) {
-                const auto wait = directory_.lastHeard() ? Duration::zero() : knobs_.round_pause;
+                const auto wait = directory_.lastContact() ? Duration::zero() : knobs_.round_pause;
                 search_timer_ = clock_.startTimer(wait, [this, step, rounds] { ask(step, rounds - 1); });
             }
         });
@@ -131,7 +131,7 @@
 }
 
 void FleetContacts::onAsked(Search step) {
-    if (directory_.lastHeard()) {
+    if (directory_.lastContact()) {
         search(step);  // Which it ends.
         return;
     }
@@ -160,7 +160,7 @@
 
 void FleetContacts::lookAtPlace() {
     place_timer_ = clock_.startTimer(knobs_.look_interval, [this] { lookAtPlace(); });
-    const bool is_first = ranking_.ahead(knobs_.contacts_a_zone).size() < knobs_.contacts_a_zone;
+    const bool is_first = ranking_.predecessors(knobs_.contacts_a_zone).size() < knobs_.contacts_a_zone;
     const bool is_due = is_first && isJoined() && !is_listed_ && !directory_.self().is_stopping();
     looks_ = is_due ? looks_ + 1 : 0;
     if (looks_ >= knobs_.looks_before_listing) {
--- a/src/sidecar/fleet_contacts.h
+++ b/src/sidecar/fleet_contacts.h
@@ -63,7 +63,7 @@
     /// Takes this node off the store's list; it is not coming back.
     void withdraw();
     /// True once another node has been heard, or it is known that there is none.
-    [[nodiscard]] bool isJoined() const { return is_alone_ || directory_.lastHeard().has_value(); }
+    [[nodiscard]] bool isJoined() const { return is_alone_ || directory_.lastContact().has_value(); }
 
 private:
     /// What a node that has heard of nobody tries, in this order; the last one again and again.
--- a/src/sidecar/settings.h
+++ b/src/sidecar/settings.h
@@ -17,7 +17,7 @@
 #include "src/policy/table_lease.h"
 #include "src/quarantine/exchange.h"
 #include "src/quota/quota_client.h"
-#include "src/quota/shard_keeper.h"
+#include "src/quota/shard_lease_manager.h"
 #include "src/relay/relay_service.h"
 #include "src/sidecar/fleet_contacts.h"
 #include "src/sidecar/table_follower.h"
@@ -41,7 +41,7 @@
     TableFollowerKnobs table_follower;
     TableRefresherKnobs table_refresher;
     entry::AccessKnobs access;
-    quota::ShardKeeperKnobs quota_shards;
+    quota::ShardLeaseManagerKnobs quota_shards;
     quota::QuotaClientKnobs quota_client;
     /// An instance that is silent for longer counts as unknown.
     Duration longest_silence = 8s;
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -93,7 +93,7 @@
     relay_.setReplicaView([this] { return fleet::replicasOf(directory_, settings_.service); });
     quarantine_exchange_.signalInstanceEnded().connect([this] { relay_.onInstanceEndedElsewhere(); });
     table_.signalAdopted().connect([this] { setProbePath(); });
-    failure_detector_.signalSilent().connect([this](const std::string& name) { onNodeSilent(name); });
+    failure_detector_.signalUnresponsive().connect([this](const std::string& name) { onNodeSilent(name); });
     directory_.signalChanged().connect(
         [this](const std::string&) { relay_.setRelayCount(selector_.relayCount(settings_.service)); });
 }
@@ -160,7 +160,7 @@
 void SidecarNode::onWoken(Duration suspended) {
     ports_.log.write(Event("machine_suspended").with("for_ms", toMilliseconds(suspended)));
     instance_.onWoken();
-    gossip_.introduceSelf();
+    gossip_.announceSelf();
 }
 
 // Calls --------------------------------------------------------------------
@@ -276,8 +276,8 @@
 
 /// This node counts as one with an instance also before the first heartbeat.
 double SidecarNode::machineShare(const std::string& service) const {
-    const auto same = directory_.othersWith(service).size() + (settings_.service == service ? 1 : 0);
-    return static_cast<double>(same) / static_cast<double>(directory_.othersWithInstance() + 1);
+    const auto same = directory_.othersWithService(service).size() + (settings_.service == service ? 1 : 0);
+    return static_cast<double>(same) / static_cast<double>(directory_.otherInstanceCount() + 1);
 }
 
 bool SidecarNode::isOverloaded(const entry::EntryPlan& plan) const {
@@ -313,7 +313,7 @@
         relay_.callGraph().onCallFailed(ports_.clock.now());
     }
     if (const auto spent = spent_.extract(number); !spent.empty() && report.end == entry::EntryEnd::kRefused) {
-        quota_.giveBack(spent.mapped().tenant, spent.mapped().token);
+        quota_.returnToken(spent.mapped().tenant, spent.mapped().token);
     }
     auto ended = calls_.extract(number);
     if (!ended.empty()) {
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -149,7 +149,7 @@
     decision::Admission admission_;
     entry::EntryServices entry_services_;
     StoreSession store_session_;
-    quota::ShardKeeper shard_keeper_;
+    quota::ShardLeaseManager shard_keeper_;
     quota::QuotaClient quota_;
     entry::CallIntake intake_;
     LoadLog load_log_;
--- a/src/sidecar/table_follower.cc
+++ b/src/sidecar/table_follower.cc
@@ -38,7 +38,7 @@
         resume();
     }
     if (!isCandidate()) {
-        directory_.setStoreAway(false);
+        directory_.setStoreUnreachable(false);
     }
 }
 
@@ -57,7 +57,7 @@
 // Whose turn it is ---------------------------------------------------------------
 
 bool TableFollower::isCandidate() const {
-    return ranking_.ahead(knobs_.candidates).size() < knobs_.candidates;
+    return ranking_.predecessors(knobs_.candidates).size() < knobs_.candidates;
 }
 
 /// Those before it that the store does not answer do not count, and go on trying.
@@ -65,36 +65,36 @@
     if (isAlone()) {
         return true;
     }
-    const auto ahead = ranking_.ahead(knobs_.candidates);
-    if (ahead.size() >= knobs_.candidates || directory_.self().is_stopping()) {
+    const auto predecessors = ranking_.predecessors(knobs_.candidates);
+    if (predecessors.size() >= knobs_.candidates || directory_.self().is_stopping()) {
         return false;
     }
     const auto zones = directory_.zoneCount();
     const auto wanted = (knobs_.watchers + zones - 1) / zones;
-    const auto following = static_cast<std::size_t>(
-        std::count_if(ahead.begin(), ahead.end(), [](const auto* node) { return !node->record.is_store_away(); }));
+    const auto following = static_cast<std::size_t>(std::count_if(
+        predecessors.begin(), predecessors.end(), [](const auto* node) { return !node->record.is_store_away(); }));
     return directory_.self().is_store_away() || following < wanted;
 }
 
 bool TableFollower::isAlone() const {
-    const auto heard = directory_.lastHeard();
+    const auto heard = directory_.lastContact();
     return !heard || clock_.now() - *heard > knobs_.longest_alone;
 }
 
 /// Nobody else may notice that those are gone: few nodes call one that has no caller and whose instance is idle.
 void TableFollower::probeAhead() {
-    const auto ahead = ranking_.ahead(knobs_.candidates);
-    if (ahead.size() < knobs_.candidates) {
-        for (const auto* node : ahead) {
+    const auto predecessors = ranking_.predecessors(knobs_.candidates);
+    if (predecessors.size() < knobs_.candidates) {
+        for (const auto* node : predecessors) {
             probeIfQuiet(*node);
         }
     } else if (++looks_ % knobs_.looks_between_probes == 0) {
-        probeIfQuiet(*ranking_.nearestAhead());
+        probeIfQuiet(*ranking_.predecessor());
     }
 }
 
 void TableFollower::probeIfQuiet(const fleet::KnownNode& node) {
-    if (clock_.now() - node.last_heard > knobs_.longest_quiet) {
+    if (clock_.now() - node.last_contact > knobs_.longest_quiet) {
         gossip_.probe(node.record.name(), knobs_.probe_timeout, [](bool) {});
     }
 }
@@ -161,7 +161,7 @@
     }
     pause_ = knobs_.first_pause;
     failures_ = 0;
-    directory_.setStoreAway(false);
+    directory_.setStoreUnreachable(false);
     if (answer->table && table_.adopt(std::move(*answer->table))) {
         log_.write(Event("table_adopted").with("version", table_.version()).with("from", "store"));
     }
@@ -175,7 +175,7 @@
 void TableFollower::onFailed() {
     log_.write(Event("store_failed").with("step", "table"));
     if (++failures_ >= knobs_.failures_to_leave && isCandidate()) {
-        directory_.setStoreAway(true);
+        directory_.setStoreUnreachable(true);
     }
     retry_timer_ = clock_.startTimer(nextPause(), [this] { resume(); });
 }
--- a/src/sidecar/table_refresher.cc
+++ b/src/sidecar/table_refresher.cc
@@ -37,7 +37,7 @@
     const auto now = clock_.now();
     const auto age = lease_.age(now);
     if (!age || *age > knobs_.peers_age) {
-        gossip_.askForTableAge(knobs_.peers_asked);
+        gossip_.requestTableAge(knobs_.peers_asked);
     }
     if ((!age || *age > read_age_) && !is_reading_ && now >= next_read_) {
         is_reading_ = true;
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -48,7 +48,7 @@
     double pairs = 0;
     for (std::size_t machine = 0; machine < fleet.machineCount(); ++machine) {
         if (const auto* node = fleet.node(machine)) {
-            known += static_cast<double>(node->directory().othersWithInstance());
+            known += static_cast<double>(node->directory().otherInstanceCount());
             pairs += static_cast<double>(fleet.machineCount() - 1);
         }
     }
--- a/tests/simulation/store_returns_test.cc
+++ b/tests/simulation/store_returns_test.cc
@@ -82,7 +82,7 @@
     std::size_t found = 0;
     for (int look = 0; look < 1000; ++look) {
         fleet.runFor(20ms);
-        for (std::uint32_t shard = 0; shard < quota::kShards; ++shard) {
+        for (std::uint32_t shard = 0; shard < quota::kShardCount; ++shard) {
             std::size_t owners = 0;
             for (std::size_t machine = 0; machine < fleet.machineCount(); ++machine) {
                 owners += fleet.node(machine)->ownsQuotaShard(shard) ? 1 : 0;
@@ -155,7 +155,7 @@
             options.service = "leaf";
             fleet.addMachine(options, fleet.machineCount());
             fleet.runFor(3s);
-            const auto known = fleet.node(12)->directory().othersWithInstance();
+            const auto known = fleet.node(12)->directory().otherInstanceCount();
             if (is_weak) {
                 lonely_without_era += known == 0 ? 1 : 0;
             } else {
--- a/tests/unit/fleet/failure_detector_test.cc
+++ b/tests/unit/fleet/failure_detector_test.cc
@@ -20,17 +20,17 @@
     AttemptHandle send(const std::string&, HttpRequest, Duration timeout, Callback callback) override {
         ++sent;
         AttemptResult result;
-        result.outcome = answers ? AttemptOutcome::kAnswered : AttemptOutcome::kUnknown;
+        result.outcome = responds ? AttemptOutcome::kAnswered : AttemptOutcome::kUnknown;
         result.answer.status = 200;
-        wire::Gossip answer;
-        answer.set_sender("a");  // An answer counts as the node's that it names.
-        result.answer.body = answer.SerializeAsString();
+        wire::Gossip response;
+        response.set_sender("a");  // An answer counts as the node's that it names.
+        result.answer.body = response.SerializeAsString();
         auto attempt = std::make_unique<Running>();
-        attempt->timer = clock_.startTimer(answers ? kRoundTrip : timeout,
+        attempt->timer = clock_.startTimer(responds ? kRoundTrip : timeout,
                                            [result, callback = std::move(callback)] { callback(result); });
         return attempt;
     }
-    bool answers = true;
+    bool responds = true;
     int sent = 0;
 
 private:
@@ -51,7 +51,7 @@
 struct DetectorFixture {
     DetectorFixture() {
         directory.merge(recordOf("a", 1));
-        detector.signalSilent().connect([this](const std::string& name) { silent.push_back(name); });
+        detector.signalUnresponsive().connect([this](const std::string& name) { unresponsive.push_back(name); });
     }
     [[nodiscard]] bool isSuspected() const { return fleet::NodeDirectory::isSuspected(*directory.find("a")); }
 
@@ -64,7 +64,7 @@
     fleet::NodeDirectory directory{time.clock, recordOf("self", 1)};
     fleet::Gossip gossip{time.clock, random, log, nodes, directory, table, lease, {}};
     fleet::FailureDetector detector{time.clock, directory, gossip, {}};
-    std::vector<std::string> silent;
+    std::vector<std::string> unresponsive;
 };
 
 }  // namespace
@@ -73,14 +73,14 @@
 
 BOOST_AUTO_TEST_CASE(a_node_that_answers_is_not_probed) {
     detector.onCallSent("a");
-    for (int answer = 0; answer < 10; ++answer) {
+    for (int response = 0; response < 10; ++response) {
         time.advance(200ms);
         directory.onReached("a");
     }
     detector.onCallEnded("a");
     time.advance(10s);
     BOOST_TEST(nodes.sent == 0);
-    BOOST_TEST(silent.empty());
+    BOOST_TEST(unresponsive.empty());
 }
 
 BOOST_AUTO_TEST_CASE(a_quiet_node_that_answers_its_probe_is_not_suspected) {
@@ -89,28 +89,28 @@
     BOOST_TEST(nodes.sent >= 2);
     BOOST_TEST(nodes.sent <= 4);
     BOOST_TEST(!isSuspected());
-    BOOST_TEST(silent.empty());
+    BOOST_TEST(unresponsive.empty());
 }
 
 BOOST_AUTO_TEST_CASE(a_node_that_does_not_answer_its_probe_is_told_silent_while_calls_run_there) {
-    nodes.answers = false;
+    nodes.responds = false;
     detector.onCallSent("a");
     time.advance(590ms);
-    BOOST_TEST(silent.empty());
+    BOOST_TEST(unresponsive.empty());
     time.advance(20ms);
-    BOOST_TEST(silent == std::vector<std::string>{"a"}, boost::test_tools::per_element());
+    BOOST_TEST(unresponsive == std::vector<std::string>{"a"}, boost::test_tools::per_element());
     BOOST_TEST(isSuspected());
 }
 
 BOOST_AUTO_TEST_CASE(a_suspected_node_is_probed_ever_less_often_until_it_answers) {
-    nodes.answers = false;
+    nodes.responds = false;
     directory.onUnreachable("a");
     time.advance(20s);
     BOOST_TEST(isSuspected());
     BOOST_TEST(nodes.sent >= 8);
     BOOST_TEST(nodes.sent <= 13);
-    BOOST_TEST(silent.empty());  // No call runs there.
-    nodes.answers = true;
+    BOOST_TEST(unresponsive.empty());  // No call runs there.
+    nodes.responds = true;
     time.advance(2500ms);
     BOOST_TEST(!isSuspected());
     const int sent = nodes.sent;
@@ -119,7 +119,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_node_that_starts_anew_is_not_suspected_for_its_former_life) {
-    nodes.answers = false;
+    nodes.responds = false;
     directory.onUnreachable("a");
     directory.merge(recordOf("a", 2));
     BOOST_TEST(!isSuspected());
--- a/tests/unit/fleet/gossip_test.cc
+++ b/tests/unit/fleet/gossip_test.cc
@@ -14,9 +14,9 @@
 namespace {
 
 /// Carries messages between the nodes of a test, and counts their bytes.
-class Wires : public BackEndPort {
+class FakeNetwork : public BackEndPort {
 public:
-    explicit Wires(Clock& clock) : clock_(clock) {}
+    explicit FakeNetwork(Clock& clock) : clock_(clock) {}
     AttemptHandle send(const std::string& address, HttpRequest request, Duration, Callback callback) override {
         bytes += request.body.size();
         ++messages;
@@ -26,9 +26,9 @@
             result.outcome = AttemptOutcome::kAnswered;
             result.answer = nodes.at(address)->handle(request);
             bytes += result.answer.body.size();
-            wire::Gossip answer;
-            answer.ParseFromString(result.answer.body);
-            tables += answer.has_table() ? 1 : 0;
+            wire::Gossip response;
+            response.ParseFromString(result.answer.body);
+            tables += response.has_table() ? 1 : 0;
             callback(result);
         });
         return attempt;
@@ -54,11 +54,11 @@
 }
 
 struct Node {
-    Node(const std::string& name, Clock& clock, Wires& wires)
+    Node(const std::string& name, Clock& clock, FakeNetwork& network)
         : random(std::hash<std::string>()(name)),
           directory(clock, recordOf(name)),
-          gossip(clock, random, log, wires, directory, table, lease, {}) {
-        wires.nodes[name + ":1"] = &gossip;
+          gossip(clock, random, log, network, directory, table, lease, {}) {
+        network.nodes[name + ":1"] = &gossip;
     }
     adapters::SeededRandom random;
     tests::RecordingLog log;
@@ -75,16 +75,16 @@
     }
     /// Bytes of one exchange.
     std::size_t exchange() {
-        const auto before = wires.bytes;
+        const auto before = network.bytes;
         left.gossip.exchangeWith("right");
         time.advance(100ms);
-        return wires.bytes - before;
+        return network.bytes - before;
     }
 
     tests::VirtualTime time;
-    Wires wires{time.clock};
-    Node left{"left", time.clock, wires};
-    Node right{"right", time.clock, wires};
+    FakeNetwork network{time.clock};
+    Node left{"left", time.clock, network};
+    Node right{"right", time.clock, network};
 };
 
 }  // namespace
@@ -127,7 +127,7 @@
         table.set_version(7);
         for (int i = 0; i < kNodes; ++i) {
             const auto name = "node-" + std::to_string(i);
-            nodes.push_back(std::make_unique<Node>(name, time.clock, wires));
+            nodes.push_back(std::make_unique<Node>(name, time.clock, network));
             nodes.back()->table.adopt(table);
             starting.directory.addAddress(name, "", name + ":1");
         }
@@ -137,10 +137,10 @@
             }
         }
         time.advance(3s);  // Each has told some others of its table.
-        wires.messages = 0;
+        network.messages = 0;
     }
     /// How many of the nodes know a record of this version.
-    [[nodiscard]] int knowing(const std::string& name, std::uint64_t sequence) const {
+    [[nodiscard]] int countNodesWith(const std::string& name, std::uint64_t sequence) const {
         return static_cast<int>(std::count_if(nodes.begin(), nodes.end(), [&](const auto& node) {
             const auto* record = node->directory.record(name);
             return record != nullptr && record->incarnation() > 0 && record->sequence() == sequence;
@@ -148,19 +148,20 @@
     }
     static constexpr int kNodes = 200;
     tests::VirtualTime time;
-    Wires wires{time.clock};
+    FakeNetwork network{time.clock};
     std::vector<std::unique_ptr<Node>> nodes;
-    Node starting{"starting", time.clock, wires};
+    Node starting{"starting", time.clock, network};
 };
 
 BOOST_FIXTURE_TEST_CASE(a_starting_node_gets_the_table_a_few_times_and_is_known_to_all, FleetFixture) {
-    starting.gossip.introduceSelf();
+    starting.gossip.announceSelf();
     time.advance(100ms);
     BOOST_TEST(starting.table.version() == 7U);
     time.advance(1s);
-    BOOST_TEST(knowing("starting", 0) >= kNodes * 0.97);  // Exchanges on the timer, not running here, find the rest.
-    BOOST_TEST(wires.tables >= 1);
-    BOOST_TEST(wires.tables <= 3);
+    BOOST_TEST(countNodesWith("starting", 0) >=
+               kNodes * 0.97);  // Exchanges on the timer, not running here, find the rest.
+    BOOST_TEST(network.tables >= 1);
+    BOOST_TEST(network.tables <= 3);
 }
 
 /// The cost of a change at each node does not grow with the fleet, and many changes travel together.
@@ -169,17 +170,17 @@
     instance.set_id("i1");
     nodes[0]->directory.updateSelf(instance, false);
     time.advance(1s);
-    BOOST_TEST(knowing("node-0", 1) >= kNodes * 0.97);
-    BOOST_TEST(wires.messages <= kNodes * 6);
-    wires.messages = 0;
+    BOOST_TEST(countNodesWith("node-0", 1) >= kNodes * 0.97);
+    BOOST_TEST(network.messages <= kNodes * 6);
+    network.messages = 0;
     for (int i = 1; i <= 40; ++i) {
         nodes[static_cast<std::size_t>(i)]->directory.updateSelf(instance, false);
     }
     time.advance(1500ms);
     for (int i = 1; i <= 40; ++i) {
-        BOOST_TEST(knowing("node-" + std::to_string(i), 1) >= kNodes * 0.9);
+        BOOST_TEST(countNodesWith("node-" + std::to_string(i), 1) >= kNodes * 0.9);
     }
-    BOOST_TEST(wires.messages <= kNodes * 16);
+    BOOST_TEST(network.messages <= kNodes * 16);
 }
 
 BOOST_FIXTURE_TEST_CASE(exchanges_bring_what_rumors_have_missed, FleetFixture) {
@@ -190,7 +191,7 @@
         node->gossip.start();
     }
     time.advance(4s);
-    BOOST_TEST(knowing("node-0", 1) == kNodes);
+    BOOST_TEST(countNodesWith("node-0", 1) == kNodes);
 }
 
 BOOST_FIXTURE_TEST_CASE(a_node_that_does_not_answer_does_not_keep_the_table_from_others, FleetFixture) {
@@ -203,15 +204,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(whoever_answers_at_a_nodes_address_is_not_that_node) {
-    Node other("other", time.clock, wires);
-    wires.nodes["right:1"] = &other.gossip;
+    Node other("other", time.clock, network);
+    network.nodes["right:1"] = &other.gossip;
     bool is_answered = true;
     left.gossip.probe("right", 300ms, [&](bool answered) { is_answered = answered; });
     time.advance(100ms);
     BOOST_TEST(!is_answered);
     BOOST_TEST(!fleet::NodeDirectory::isReachable(*left.directory.find("right")));
     BOOST_TEST(fleet::NodeDirectory::isReachable(*left.directory.find("other")));
-    wires.nodes["right:1"] = &right.gossip;
+    network.nodes["right:1"] = &right.gossip;
     left.gossip.probe("right", 300ms, [&](bool answered) { is_answered = answered; });
     time.advance(100ms);
     BOOST_TEST(is_answered);
@@ -220,10 +221,10 @@
 
 /// Two records with one address: one question settles whose it is, whichever was heard of first.
 BOOST_AUTO_TEST_CASE(an_address_that_two_nodes_claim_is_asked_for_its_holder) {
-    Node holder("holder", time.clock, wires);
-    wires.nodes["shared:1"] = &holder.gossip;
+    Node holder("holder", time.clock, network);
+    network.nodes["shared:1"] = &holder.gossip;
     for (const bool is_first : {true, false}) {
-        Node asker(is_first ? "asker-1" : "asker-2", time.clock, wires);
+        Node asker(is_first ? "asker-1" : "asker-2", time.clock, network);
         for (const char* name : {is_first ? "holder" : "former", is_first ? "former" : "holder"}) {
             auto record = recordOf(name);
             record.set_address("shared:1");
--- a/tests/unit/fleet/node_directory_test.cc
+++ b/tests/unit/fleet/node_directory_test.cc
@@ -46,8 +46,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_failed_contact_makes_a_node_suspected_until_it_is_reached) {
-    std::vector<std::string> told;
-    directory.signalSuspected().connect([&](const std::string& name) { told.push_back(name); });
+    std::vector<std::string> reported;
+    directory.signalSuspected().connect([&](const std::string& name) { reported.push_back(name); });
     directory.merge(recordOf("a", 1, 1));
     BOOST_TEST(!directory.isSuspected(*directory.find("a")));
     directory.onUnreachable("a");
@@ -56,8 +56,8 @@
     BOOST_TEST(directory.isSuspected(*directory.find("a")));
     directory.onReached("a");
     BOOST_TEST(!directory.isSuspected(*directory.find("a")));
-    BOOST_TEST((directory.find("a")->last_heard == time.clock.now()));
-    BOOST_TEST(told == std::vector<std::string>{"a"}, boost::test_tools::per_element());
+    BOOST_TEST((directory.find("a")->last_contact == time.clock.now()));
+    BOOST_TEST(reported == std::vector<std::string>{"a"}, boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(a_new_life_is_not_suspected_for_the_old_one) {
@@ -118,19 +118,19 @@
     };
     const auto names = [&](const std::string& service) {
         std::vector<std::string> found;
-        for (const auto* node : directory.othersWith(service)) {
+        for (const auto* node : directory.othersWithService(service)) {
             found.push_back(node->record.name());
         }
         return found;
     };
     directory.addAddress("a", "north", "a:1");
     BOOST_TEST(names("desk").empty());
-    BOOST_TEST(directory.othersWithInstance() == 0U);
+    BOOST_TEST(directory.otherInstanceCount() == 0U);
     directory.merge(with("a", 1, "desk"));
     directory.merge(with("b", 1, "desk"));
     directory.merge(with("c", 1, "leaf"));
     BOOST_TEST(names("desk") == (std::vector<std::string>{"a", "b"}), boost::test_tools::per_element());
-    BOOST_TEST(directory.othersWithInstance() == 3U);
+    BOOST_TEST(directory.otherInstanceCount() == 3U);
     directory.merge(with("a", 2, "leaf"));
     BOOST_TEST(names("desk") == std::vector<std::string>{"b"}, boost::test_tools::per_element());
     BOOST_TEST(names("leaf") == (std::vector<std::string>{"a", "c"}), boost::test_tools::per_element());
@@ -151,9 +151,10 @@
 /// Only an answer from there tells who holds an address; until it is heard anew, or elsewhere, the former holder is not
 /// used, whatever rumors still say of it.
 BOOST_AUTO_TEST_CASE(a_node_whose_address_another_one_has_is_not_reachable) {
-    std::vector<std::string> shared;
-    directory.signalAddressShared().connect(
-        [&](const std::string& former, const std::string& latter) { shared.push_back(former + " " + latter); });
+    std::vector<std::string> conflicts;
+    directory.signalAddressConflict().connect([&](const std::string& previous, const std::string& claimant) {
+        conflicts.push_back(previous + " " + claimant);
+    });
     const auto at = [](const std::string& name, std::uint64_t incarnation, std::uint64_t sequence,
                        const char* address) {
         auto record = recordOf(name, incarnation, sequence);
@@ -163,19 +164,19 @@
     const auto isReachable = [&](const char* name) { return fleet::NodeDirectory::isReachable(*directory.find(name)); };
     directory.merge(at("old", 9, 1, "x:1"));
     directory.merge(at("new", 2, 1, "x:1"));  // By its clock it started earlier.
-    BOOST_TEST(shared == std::vector<std::string>{"old new"}, boost::test_tools::per_element());
+    BOOST_TEST(conflicts == std::vector<std::string>{"old new"}, boost::test_tools::per_element());
     BOOST_TEST(isReachable("old"));
-    directory.onDisplaced("old");
+    directory.onSuperseded("old");
     BOOST_TEST(!isReachable("old"));
     directory.merge(at("old", 9, 2, "x:1"));  // A delayed rumor.
-    directory.onHeard("old");                 // A delayed message.
+    directory.onMessageReceived("old");       // A delayed message.
     BOOST_TEST(!isReachable("old"));
     directory.onReached("old");  // The address has gone back.
     BOOST_TEST(isReachable("old"));
-    directory.onDisplaced("old");
+    directory.onSuperseded("old");
     directory.merge(at("old", 10, 1, "x:1"));  // A new life.
     BOOST_TEST(isReachable("old"));
-    directory.onDisplaced("old");
+    directory.onSuperseded("old");
     directory.merge(at("old", 10, 2, "y:1"));  // Elsewhere.
     BOOST_TEST(isReachable("old"));
     directory.merge(at("former", 7, 1, "self:1"));
--- a/tests/unit/fleet/replicas_test.cc
+++ b/tests/unit/fleet/replicas_test.cc
@@ -31,15 +31,15 @@
     directory.merge(recordOf("d", wire::INSTANCE_READY));
     directory.merge(recordOf("e", wire::INSTANCE_DRAINING));
     directory.merge(recordOf("f", wire::INSTANCE_GONE));
-    auto found = fleet::replicasOf(directory, "leaf");
-    BOOST_TEST(found.up == 3U);
-    BOOST_TEST(found.away == 1U);
-    BOOST_TEST(found.place == 1U);
+    auto replicas = fleet::replicasOf(directory, "leaf");
+    BOOST_TEST(replicas.up == 3U);
+    BOOST_TEST(replicas.unavailable == 1U);
+    BOOST_TEST(replicas.position == 1U);
     directory.onUnreachable("a");
-    found = fleet::replicasOf(directory, "leaf");
-    BOOST_TEST(found.up == 2U);
-    BOOST_TEST(found.away == 2U);
-    BOOST_TEST(found.place == 0U);
+    replicas = fleet::replicasOf(directory, "leaf");
+    BOOST_TEST(replicas.up == 2U);
+    BOOST_TEST(replicas.unavailable == 2U);
+    BOOST_TEST(replicas.position == 0U);
     BOOST_TEST(fleet::replicasOf(directory, "other").up == 0U);
 }
 
--- a/tests/unit/fleet/rumor_queue_test.cc
+++ b/tests/unit/fleet/rumor_queue_test.cc
@@ -9,12 +9,12 @@
 BOOST_AUTO_TEST_CASE(a_rumor_is_told_until_enough_receivers_knew_it) {
     fleet::RumorQueue queue({2, 16});
     queue.add("a");
-    queue.onTold("a");
-    queue.onUseless("a");
+    queue.onSent("a");
+    queue.onAlreadyKnown("a");
     BOOST_TEST(!queue.empty());
-    queue.onUseless("a");
+    queue.onAlreadyKnown("a");
     BOOST_TEST(queue.empty());
-    queue.onUseless("a");  // Of a message that was under way.
+    queue.onAlreadyKnown("a");  // Of a message that was under way.
     BOOST_TEST(queue.empty());
 }
 
@@ -23,7 +23,7 @@
     queue.add("a");
     for (int i = 0; i < 3; ++i) {
         BOOST_TEST(!queue.empty());
-        queue.onTold("a");
+        queue.onSent("a");
     }
     BOOST_TEST(queue.empty());
 }
@@ -32,10 +32,10 @@
     fleet::RumorQueue queue({2, 16});
     queue.add("a");
     queue.add("b");
-    queue.onTold("a");
+    queue.onSent("a");
     BOOST_TEST(queue.next(1) == std::vector<std::string>{"b"}, boost::test_tools::per_element());
-    queue.onTold("b");
-    queue.onTold("b");
+    queue.onSent("b");
+    queue.onSent("b");
     queue.add("b");
     BOOST_TEST(queue.next(9) == (std::vector<std::string>{"b", "a"}), boost::test_tools::per_element());
 }
--- a/tests/unit/fleet/zone_ranking_test.cc
+++ b/tests/unit/fleet/zone_ranking_test.cc
@@ -24,7 +24,7 @@
             directory.merge(recordOf("n" + std::to_string(number), number % 2 == 0 ? "north" : "east"));
         }
     }
-    [[nodiscard]] std::size_t place() const { return ranking.ahead(100).size(); }
+    [[nodiscard]] std::size_t predecessorCount() const { return ranking.predecessors(100).size(); }
 
     tests::VirtualTime time;
     fleet::NodeDirectory directory{time.clock, recordOf("self", "north")};
@@ -42,35 +42,35 @@
         greater += is_near && node.rank > fleet::NodeDirectory::rankOf("self") ? 1 : 0;
     }
     BOOST_TEST(greater > 0U);
-    BOOST_TEST(place() == greater);
-    BOOST_TEST(ranking.ahead(2).size() == 2U);
+    BOOST_TEST(predecessorCount() == greater);
+    BOOST_TEST(ranking.predecessors(2).size() == 2U);
     BOOST_TEST(directory.zoneCount() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(lost_and_stopping_ones_do_not_count_and_come_back) {
-    const auto before = place();
-    const auto first = ranking.ahead(1).front()->record.name();
-    const auto nearest = ranking.nearestAhead()->record.name();
+    const auto before = predecessorCount();
+    const auto first = ranking.predecessors(1).front()->record.name();
+    const auto nearest = ranking.predecessor()->record.name();
     BOOST_TEST(first != nearest);
     directory.onUnreachable(first);
-    BOOST_TEST(place() == before - 1);
-    BOOST_TEST(ranking.ahead(1).front()->record.name() != first);
+    BOOST_TEST(predecessorCount() == before - 1);
+    BOOST_TEST(ranking.predecessors(1).front()->record.name() != first);
     auto stopping = recordOf(nearest, "north");
     stopping.set_sequence(1);
     stopping.set_is_stopping(true);
     directory.merge(stopping);
-    BOOST_TEST(place() == before - 2);
-    BOOST_TEST(ranking.nearestAhead()->record.name() != nearest);
+    BOOST_TEST(predecessorCount() == before - 2);
+    BOOST_TEST(ranking.predecessor()->record.name() != nearest);
     directory.onReached(first);
-    BOOST_TEST(place() == before - 1);
+    BOOST_TEST(predecessorCount() == before - 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_node_that_moves_to_another_zone_leaves_this_one) {
-    const auto before = place();
-    auto moved = recordOf(ranking.ahead(1).front()->record.name(), "west");
+    const auto before = predecessorCount();
+    auto moved = recordOf(ranking.predecessors(1).front()->record.name(), "west");
     moved.set_sequence(1);
     directory.merge(moved);
-    BOOST_TEST(place() == before - 1);
+    BOOST_TEST(predecessorCount() == before - 1);
     BOOST_TEST(directory.zoneCount() == 3U);
 }
 
--- a/tests/unit/quota/quota_test.cc
+++ b/tests/unit/quota/quota_test.cc
@@ -23,12 +23,12 @@
 }
 
 /// Most tokens in any span of a window.
-double mostIn(const std::vector<TimePoint>& granted, Duration window) {
-    std::ptrdiff_t most = 0;
+double maxTokensIn(const std::vector<TimePoint>& granted, Duration window) {
+    std::ptrdiff_t max_tokens = 0;
     for (auto begin = granted.begin(); begin != granted.end(); ++begin) {
-        most = std::max(most, std::lower_bound(begin, granted.end(), *begin + window) - begin);
+        max_tokens = std::max(max_tokens, std::lower_bound(begin, granted.end(), *begin + window) - begin);
     }
-    return static_cast<double>(most);
+    return static_cast<double>(max_tokens);
 }
 
 }  // namespace
@@ -44,11 +44,11 @@
     for (const auto& entry : cases) {
         const auto tenant = tenantOf(entry.burst, entry.burst);
         std::uint32_t count = 0;
-        for (std::uint32_t shard = 0; shard < quota::kShards; ++shard) {
+        for (std::uint32_t shard = 0; shard < quota::kShardCount; ++shard) {
             count += quota::isShardOf(tenant, shard) ? 1 : 0;
         }
         BOOST_TEST(count == entry.shards);
-        BOOST_TEST(quota::shardsOf(tenant) == entry.shards);
+        BOOST_TEST(quota::shardCountOf(tenant) == entry.shards);
     }
 }
 
@@ -59,71 +59,72 @@
         const auto tenant =
             tenantOf(1 + static_cast<double>(random.below(200)), static_cast<double>(random.below(200)));
         std::vector<quota::QuotaShard> shards;
-        for (std::uint32_t shard = 0; shard < quota::kShards; ++shard) {
+        for (std::uint32_t shard = 0; shard < quota::kShardCount; ++shard) {
             shards.emplace_back(shard, kStart);
         }
         std::vector<TimePoint> granted;
         auto now = kStart;
         for (int step = 0; step < 20'000; ++step) {
             now += Duration(static_cast<std::int64_t>(random.below(3000)));
-            const auto place = static_cast<std::uint32_t>(random.below(quota::kShards));
+            const auto shard_index = static_cast<std::uint32_t>(random.below(quota::kShardCount));
             if (random.below(500) == 0) {
-                shards[place] = quota::QuotaShard(place, now);  // A new owner.
+                shards[shard_index] = quota::QuotaShard(shard_index, now);  // A new owner.
             }
             const auto wanted = static_cast<std::uint32_t>(1 + random.below(3));
-            const auto line = shards[place].grant(now, tenant, wanted, 0);
+            const auto line = shards[shard_index].grant(now, tenant, wanted, 0);
             granted.insert(granted.end(), line.granted(), now);
             BOOST_REQUIRE(line.granted() <= wanted);
             BOOST_REQUIRE((line.granted() == wanted || line.next_ms() > 0));
         }
         for (const auto window : {Duration(200ms), Duration(5s)}) {
-            const double allowed = tenant.rate_per_s() * toSeconds(window) + tenant.burst() + quota::kShards;
-            BOOST_TEST(mostIn(granted, window) <= allowed, "seed " << seed);
+            const double allowed = tenant.rate_per_s() * toSeconds(window) + tenant.burst() + quota::kShardCount;
+            BOOST_TEST(maxTokensIn(granted, window) <= allowed, "seed " << seed);
         }
     }
 }
 
 /// Of a tenant's requests at 0.62 of its limit, spread over the nodes of a fleet, the share that finds no token.
 /// @param has_shards three shards of it are asked at most; else each node has an equal part of the limit.
-double refusedShare(double rate, std::size_t nodes, bool has_shards, std::uint64_t seed) {
+double refusedRatio(double rate, std::size_t nodes, bool has_shards, std::uint64_t seed) {
     adapters::SeededRandom random(seed);
     const auto tenant = tenantOf(rate, rate);
     const auto parts = static_cast<double>(nodes);
     std::vector<quota::TokenBucket> buckets(nodes, quota::TokenBucket(kStart - 10s));
     std::vector<quota::QuotaShard> shards;
-    for (std::uint32_t shard = 0; shard < quota::kShards; ++shard) {
+    for (std::uint32_t shard = 0; shard < quota::kShardCount; ++shard) {
         shards.emplace_back(shard, kStart - 10s);
     }
-    const auto grants = [&](TimePoint now) {
+    const auto takesToken = [&](TimePoint now) {
         if (!has_shards) {
             return buckets[random.below(nodes)].take(now, rate / parts, std::max(1.0, rate / parts), 1) > 0;
         }
         const auto first = quota::firstShardOf("house");
-        const auto count = quota::shardsOf(tenant);
+        const auto count = quota::shardCountOf(tenant);
         const auto begin = random.below(count);
-        for (std::uint64_t asks = 0; asks < std::min(count, 3U); ++asks) {
-            const auto place = static_cast<std::uint32_t>((first + (begin + asks) % count) % quota::kShards);
-            if (shards[place].grant(now, tenant, 1, 0).granted() > 0) {
+        for (std::uint64_t attempts = 0; attempts < std::min(count, 3U); ++attempts) {
+            const auto shard_index =
+                static_cast<std::uint32_t>((first + (begin + attempts) % count) % quota::kShardCount);
+            if (shards[shard_index].grant(now, tenant, 1, 0).granted() > 0) {
                 return true;
             }
         }
         return false;
     };
-    int asked = 0;
+    int requests = 0;
     int refused = 0;
     for (auto now = kStart; now < kStart + 60s; now += fromSeconds(-std::log(1 - random.unit()) / (0.62 * rate))) {
-        ++asked;
-        refused += grants(now) ? 0 : 1;
+        ++requests;
+        refused += takesToken(now) ? 0 : 1;
     }
-    return static_cast<double>(refused) / asked;
+    return static_cast<double>(refused) / requests;
 }
 
 BOOST_AUTO_TEST_CASE(tenants_within_their_limits_find_tokens_where_equal_parts_of_a_limit_would_refuse_them) {
     for (const double rate : {16.0, 60.0, 429.0}) {
         for (const std::size_t nodes : {20U, 71U, 300U}) {
-            BOOST_TEST(refusedShare(rate, nodes, true, 1) < 0.01, rate << " a second over " << nodes);
+            BOOST_TEST(refusedRatio(rate, nodes, true, 1) < 0.01, rate << " a second over " << nodes);
             const bool has_part = rate >= static_cast<double>(nodes);  // At least a token a second for each node.
-            BOOST_TEST((has_part || refusedShare(rate, nodes, false, 1) > 0.05), rate << " a second over " << nodes);
+            BOOST_TEST((has_part || refusedRatio(rate, nodes, false, 1) > 0.05), rate << " a second over " << nodes);
         }
     }
 }
@@ -141,20 +142,20 @@
 
 /// The store names one owner after the other, at random times; each hears of it late, or not at all, and is suspended
 /// at random. No two of them may hand out at the same time.
-std::size_t overlaps(std::uint64_t seed, double margin_share, Duration latest) {
+std::size_t overlaps(std::uint64_t seed, double margin_ratio, Duration max_delay) {
     constexpr std::size_t kNodes = 4;
     adapters::SeededRandom random(seed);
     quota::ShardLeaseKnobs knobs;
-    knobs.margin_share = margin_share;
+    knobs.margin_ratio = margin_ratio;
     std::vector<quota::ShardLease> leases(kNodes, quota::ShardLease(knobs));
-    struct Answer {
-        TimePoint asked;
-        TimePoint answered;
+    struct Response {
+        TimePoint requested_at;
+        TimePoint received_at;
         std::size_t node;
         std::size_t named;  ///< Who it was in the middle.
     };
-    std::vector<Answer> answers;
-    std::vector<TimePoint> cut_until(kNodes, kStart);
+    std::vector<Response> responses;
+    std::vector<TimePoint> unreachable_until(kNodes, kStart);
     std::optional<std::size_t> owner;
     std::size_t found = 0;
     for (auto now = kStart; now < kStart + 300s; now += 10ms) {
@@ -163,57 +164,57 @@
         }
         const auto node = static_cast<std::size_t>(random.below(kNodes));
         if (random.below(400) == 0) {
-            cut_until[node] = now + Duration(static_cast<std::int64_t>(random.below(15'000'000)));
+            unreachable_until[node] = now + Duration(static_cast<std::int64_t>(random.below(15'000'000)));
         }
-        const bool is_answered = random.below(3) > 0 && now >= cut_until[node];
+        const bool is_answered = random.below(3) > 0 && now >= unreachable_until[node];
         if (owner && is_answered) {
-            const auto late =
-                Duration(static_cast<std::int64_t>(random.below(static_cast<std::uint64_t>(latest.count()))));
-            answers.push_back({now, now + late, node, *owner});
+            const auto delay =
+                Duration(static_cast<std::int64_t>(random.below(static_cast<std::uint64_t>(max_delay.count()))));
+            responses.push_back({now, now + delay, node, *owner});
         }
-        for (const auto& it : answers) {
-            if (it.answered > now || it.answered <= now - 10ms) {
+        for (const auto& it : responses) {
+            if (it.received_at > now || it.received_at <= now - 10ms) {
                 continue;
             }
             if (it.named == it.node) {
-                leases[it.node].onNamed(it.asked, now, false);
+                leases[it.node].onConfirmed(it.requested_at, now, false);
             } else {
                 leases[it.node].onLost();
             }
         }
-        std::erase_if(answers, [now](const Answer& it) { return it.answered <= now; });
-        const auto granting =
+        std::erase_if(responses, [now](const Response& it) { return it.received_at <= now; });
+        const auto granting_count =
             std::count_if(leases.begin(), leases.end(), [now](const auto& it) { return it.mayGrant(now); });
-        found += granting > 1 ? 1 : 0;
+        found += granting_count > 1 ? 1 : 0;
     }
     return found;
 }
 
 BOOST_AUTO_TEST_CASE(no_two_owners_hand_out_at_the_same_time) {
-    std::size_t without_waiting = 0;
+    std::size_t unsafe_overlaps = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        for (const auto latest : {Duration(500ms), Duration(4s)}) {
-            BOOST_TEST(overlaps(seed, 0.04, latest) == 0U, "seed " << seed);
-            without_waiting += overlaps(seed, -0.9, latest);  // Owners hold on longer, successors wait for less.
+        for (const auto max_delay : {Duration(500ms), Duration(4s)}) {
+            BOOST_TEST(overlaps(seed, 0.04, max_delay) == 0U, "seed " << seed);
+            unsafe_overlaps += overlaps(seed, -0.9, max_delay);  // Owners hold on longer, successors wait for less.
         }
     }
-    BOOST_TEST(without_waiting > 0U);
+    BOOST_TEST(unsafe_overlaps > 0U);
 }
 
 BOOST_AUTO_TEST_CASE(whoever_follows_an_owner_that_is_known_to_be_gone_does_not_wait) {
     quota::ShardLease lease{{}};
-    lease.onNamed(kStart, kStart + 4ms, true);
+    lease.onConfirmed(kStart, kStart + 4ms, true);
     BOOST_TEST(lease.mayGrant(kStart + 4ms));
     quota::ShardLease other{{}};
-    other.onNamed(kStart, kStart + 4ms, false);
+    other.onConfirmed(kStart, kStart + 4ms, false);
     BOOST_TEST(!other.mayGrant(kStart + 4ms));
-    other.onNamed(kStart + 6s, kStart + 6004ms, false);
+    other.onConfirmed(kStart + 6s, kStart + 6004ms, false);
     BOOST_TEST(!other.mayGrant(kStart + 8s));
     BOOST_TEST(other.mayGrant(kStart + 9s));
     BOOST_TEST(!other.mayGrant(kStart + 14s));
     quota::ShardLease third{{}};
-    third.onNamed(kStart, kStart + 4ms, false);
-    third.onHandedOver(kStart + 10ms);
+    third.onConfirmed(kStart, kStart + 4ms, false);
+    third.onPreviousOwnerStopped(kStart + 10ms);
     BOOST_TEST(third.mayGrant(kStart + 10ms));
 }
 
