--- a/src/fleet/failure_detector.cc
+++ b/src/fleet/failure_detector.cc
@@ -53,14 +53,14 @@
 
 void FailureDetector::probe(const std::string& name) {
     peers_[name].is_probing = true;
-    gossip_.probe(name, knobs_.probe_timeout, [this, name](bool is_answered) { onProbeResult(name, is_answered); });
+    gossip_.probe(name, knobs_.probe_timeout, [this, name](bool has_response) { onProbeResult(name, has_response); });
 }
 
-/// The directory has been told of the result by then.
-void FailureDetector::onProbeResult(const std::string& name, bool is_answered) {
+/// Gossip has updated the directory before this is called.
+void FailureDetector::onProbeResult(const std::string& name, bool has_response) {
     auto& peer = peers_[name];
     peer.is_probing = false;
-    if (is_answered) {
+    if (has_response) {
         peer.reprobe_interval = {};
         if (peer.calls > 0) {
             scheduleCheck(name, knobs_.max_silence);
@@ -75,7 +75,7 @@
     }
 }
 
-/// Any failed contact leads here, a call's as well as a probe's.
+/// Called for each failed contact, of calls as well as of probes.
 void FailureDetector::onSuspected(const std::string& name) {
     auto& peer = peers_[name];
     if (peer.is_probing || peer.reprobe_interval > Duration::zero()) {
--- a/src/fleet/failure_detector.h
+++ b/src/fleet/failure_detector.h
@@ -1,10 +1,9 @@
 /// @file
-/// Finds nodes that have fallen silent, and when they can be reached again.
+/// Detects unresponsive nodes, and when they respond again.
 ///
-/// A machine without power, behind a cut, or frozen resets nothing: calls to it hang until their
-/// deadlines. So a node that has calls and says nothing is probed, and one that does not answer
-/// is suspected until it has answered a later probe. Suspicion is this node's own view: it is not
-/// spread, as a cut may part this node alone from another.
+/// A host that loses power, is partitioned off or freezes closes no connections: calls to it hang until their
+/// deadlines. A node that has calls in flight and sends nothing is probed; if the probe fails, the node is suspected
+/// until a later contact succeeds. Suspicion is local and is not gossiped, as the partition may affect only this node.
 #pragma once
 
 #include <sigc++/sigc++.h>
@@ -20,44 +19,45 @@
 
 namespace dewcrank::fleet {
 
-/// Constants of the detector.
 struct FailureDetectorKnobs {
-    Duration max_silence = 300ms;  ///< A node with calls that says nothing for this long is probed.
-    Duration probe_timeout = 300ms;
-    Duration min_reprobe_interval = 250ms;  ///< Wait before a suspected node is probed; doubles each time.
-    Duration max_reprobe_interval = 2s;
+    Duration max_silence = 300ms;           ///< A node with calls in flight is probed after this long without contact.
+    Duration probe_timeout = 300ms;         ///< A probe without a response by then has failed.
+    Duration min_reprobe_interval = 250ms;  ///< Delay before a suspected node is probed; doubles with each failure.
+    Duration max_reprobe_interval = 2s;     ///< Upper bound of that delay.
 };
 
-/// Watches the nodes that calls of this node run at. Costs nothing while answers come in.
+/// Monitors the nodes that have calls of this node in flight. Sends nothing while they respond.
 class FailureDetector {
 public:
     FailureDetector(Clock& clock, NodeDirectory& directory, Gossip& gossip, FailureDetectorKnobs knobs);
 
+    /// A call has been sent to the node.
     void onCallSent(const std::string& name);
+    /// A call to the node has ended, whatever its result.
     void onCallEnded(const std::string& name);
 
-    /// Emitted with a node's name when a probe of it has failed while calls run there.
+    /// Emitted with a node's name when a probe of it fails while calls to it are in flight.
     sigc::signal<void(const std::string&)>& signalUnresponsive() { return signal_unresponsive_; }
 
 private:
     struct Peer {
-        int calls = 0;                ///< That run there; never below 0.
-        TimePoint busy_since{};       ///< When the first of them was sent.
-        bool is_probing = false;      ///< At most one probe of a node is under way.
+        int calls = 0;                ///< In flight.
+        TimePoint busy_since{};       ///< When `calls` last rose from 0.
+        bool is_probing = false;      ///< At most one probe of a node is in flight.
         Duration reprobe_interval{};  ///< Zero while the node is not suspected.
-        TimerHandle timer;            ///< Of the next look at it; none while nothing is to be watched.
+        TimerHandle timer;            ///< Of the next check; empty if none is due.
     };
     void check(const std::string& name);
     void scheduleCheck(const std::string& name, Duration wait);
     void probe(const std::string& name);
-    void onProbeResult(const std::string& name, bool is_answered);
+    void onProbeResult(const std::string& name, bool has_response);
     void onSuspected(const std::string& name);
 
     Clock& clock_;
     NodeDirectory& directory_;
     Gossip& gossip_;
     FailureDetectorKnobs knobs_;
-    std::map<std::string, Peer> peers_;
+    std::map<std::string, Peer> peers_;  ///< By node name.
     sigc::signal<void(const std::string&)> signal_unresponsive_;
 };
 
--- a/src/fleet/gossip.cc
+++ b/src/fleet/gossip.cc
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// Stands for the table among the rumors: each message tells its version anyway.
+/// Rumor of the table: the empty name of no record, as every message carries the table version.
 const std::string kTableRumor;
-/// Tries to find a node that is not suspected, for each that is wanted.
+/// Random draws per wanted node, as suspected nodes are skipped.
 constexpr std::size_t kTriesPerNode = 4;
 
 }  // namespace
@@ -45,13 +45,13 @@
     tick_timer_ = clock_.startTimer(jitter(knobs_.interval), [this] { tick(); });
 }
 
-/// From half of an interval to one and a half: nodes do not stay in step.
+/// Uniform from 0.5 to 1.5 of an interval, so that nodes do not synchronize.
 Duration Gossip::jitter(Duration interval) {
     return interval / 2 +
            Duration(static_cast<std::int64_t>(random_.below(static_cast<std::uint64_t>(interval.count()))));
 }
 
-/// With any node, also one that was lost: whoever finds it alive again brings it up to date.
+/// Suspected nodes are included, so that a node that is back receives what it has missed.
 void Gossip::tick() {
     if (directory_.otherCount() > 0) {
         exchangeWith(directory_.other(random_.below(directory_.otherCount())).record.name());
@@ -59,7 +59,7 @@
     scheduleNext();
 }
 
-/// Different nodes, as many of them as can be had without suspected ones.
+/// Distinct nodes that are not suspected; fewer than `limit` if the draws run out.
 std::vector<std::string> Gossip::randomNodes(std::size_t limit) {
     std::set<std::string> names;
     for (std::size_t tries = limit * kTriesPerNode; tries > 0 && names.size() < limit; --tries) {
@@ -88,7 +88,7 @@
 
 // Rumors ---------------------------------------------------------------------
 
-/// Something is news here. A round that is due earlier takes it along.
+/// Adds a rumor to the next round, which is sent now if `wait` is zero, else after `wait` unless one is scheduled.
 void Gossip::queueRumor(const std::string& name, std::size_t fanout, Duration wait) {
     rumors_.add(name);
     const bool is_immediate = wait == Duration::zero();
@@ -98,8 +98,8 @@
     next_fanout_ = std::max(next_fanout_, fanout);
 }
 
-/// More nodes than a round of rumors tells, and without the records that are due with it: each of those would be told
-/// to as many at once, and be dropped early for being known.
+/// Sends the table version to table_fanout nodes without the queued records, which would be dropped too early
+/// as already known.
 void Gossip::pushTable() {
     for (const auto& node : randomNodes(knobs_.table_fanout)) {
         sendRumors(node, {});
@@ -158,7 +158,7 @@
     }
 }
 
-/// While the directories agree an exchange is one small message each way, however large the fleet.
+/// Sends a hash of the directory first; the digest follows only if the receiver's hash differs.
 void Gossip::exchangeWith(const std::string& name) {
     if (directory_.find(name) == nullptr || !exchanging_.insert(name).second) {
         return;
@@ -239,7 +239,7 @@
     }
 }
 
-/// @param name of the node that is to answer; empty if any may.
+/// @param name of the expected responder; empty if any node may respond.
 void Gossip::sendTo(const std::string& address, const std::string& name, const wire::Gossip& message, Duration timeout,
                     OnResponse done) {
     HttpRequest request;
@@ -256,17 +256,18 @@
                     });
 }
 
-/// What another node answers at the address is its own word, and none of the node that was asked.
+/// A response counts as contact with the node that its sender field names, which may not be the expected one: an
+/// address can be reassigned.
 void Gossip::onResponse(const std::string& name, TimePoint sent, const AttemptResult& result, const OnResponse& done) {
     wire::Gossip response;
-    const bool is_answered = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
-                             response.ParseFromString(result.answer.body);
+    const bool has_response = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
+                              response.ParseFromString(result.answer.body);
     const bool is_expected_sender =
-        is_answered && (response.sender() == name || name.empty() || knobs_.weakening.trusts_any_answer);
+        has_response && (response.sender() == name || name.empty() || knobs_.weakening.trusts_any_answer);
     if (is_expected_sender && !name.empty()) {
         directory_.onReached(name);
     }
-    if (is_answered) {
+    if (has_response) {
         directory_.addAddress(response.sender(), "", response.sender_address());
         directory_.onReached(response.sender());
         mergeMessage(response, nullptr);
@@ -275,10 +276,10 @@
             lease_.onPeer(sent, age, response.table_version(), table_.version());
         }
     }
-    if (is_answered && !is_expected_sender) {
+    if (has_response && !is_expected_sender) {
         log_.write(Event("node_displaced").with("peer", name).with("by", response.sender()));
         directory_.onSuperseded(name);
-    } else if (!is_answered) {
+    } else if (!has_response) {
         directory_.onUnreachable(name);
     }
     if (done) {
@@ -286,20 +287,20 @@
     }
 }
 
-/// Whoever answers at the address holds it, the other one does not.
+/// Probes the shared address: the node that responds keeps it, the other one is superseded.
 void Gossip::resolveAddressConflict(const std::string& previous, const std::string& claimant) {
-    probe(previous, knobs_.timeout, [this, previous, claimant](bool is_former) {
+    probe(previous, knobs_.timeout, [this, previous, claimant](bool is_previous_there) {
         const auto* first = directory_.find(previous);
         const auto* second = directory_.find(claimant);
         const bool is_shared =
             first != nullptr && second != nullptr && first->record.address() == second->record.address();
-        if (is_former && is_shared) {
+        if (is_previous_there && is_shared) {
             directory_.onSuperseded(claimant);
         }
     });
 }
 
-/// @param reply told which records were no news; null for an answer.
+/// @param reply receives the indexes of rumors that were already known; null if `message` is a response.
 void Gossip::mergeMessage(const wire::Gossip& message, wire::Gossip* reply) {
     for (int index = 0; index < message.records_size(); ++index) {
         const auto& record = message.records(index);
--- a/src/fleet/gossip.h
+++ b/src/fleet/gossip.h
@@ -1,7 +1,6 @@
 /// @file
-/// Spreads records and the table between nodes: changes as rumors, which each receiver to which
-/// they are news passes on, and an anti-entropy exchange with one random node on a timer, which
-/// finds what rumors have missed.
+/// Replicates node records and the route table between all nodes. Changes spread as rumors, which each receiver that
+/// did not have them forwards; a periodic anti-entropy exchange with a random node delivers what rumors have missed.
 #pragma once
 
 #include <functional>
@@ -24,56 +23,62 @@
 
 namespace dewcrank::fleet {
 
-/// Path of the exchange at a node's address.
+/// Path at a node's address that receives `wire::Gossip` messages.
 inline constexpr std::string_view kGossipPath = "/fleet/gossip";
 
-/// Constants of the exchange.
 struct GossipKnobs {
-    Duration interval = 700ms;
-    Duration timeout = 600ms;
-    RumorKnobs rumors;
-    Duration rumor_interval = 100ms;     ///< Between two rounds while there is something to tell.
-    std::size_t rumor_fanout = 2;        ///< Nodes that are told in a round.
-    std::size_t table_fanout = 3;        ///< Nodes that are told of a new table before its first round.
-    std::size_t self_change_fanout = 8;  ///< The same for the first round of a node's own change.
-    std::size_t max_records = 64;        ///< In a message.
-    /// Nodes, at random, with which a starting node exchanges all.
-    std::size_t initial_exchanges = 4;
-    /// Nodes that are asked for the table at the same time: it is large, and one may be dead.
-    std::size_t max_table_requests = 3;
-    Weakening weakening;  ///< Tests only.
+    Duration interval = 700ms;           ///< Mean time between two anti-entropy exchanges.
+    Duration timeout = 600ms;            ///< Of a message that expects a response.
+    RumorKnobs rumors;                   ///< When a rumor is dropped.
+    Duration rumor_interval = 100ms;     ///< Mean time between two rounds while rumors are queued.
+    std::size_t rumor_fanout = 2;        ///< Receivers of a round.
+    std::size_t table_fanout = 3;        ///< Receivers of the version of a new table, ahead of its first round.
+    std::size_t self_change_fanout = 8;  ///< Receivers of the first round after a change of this node's own record.
+    std::size_t max_records = 64;        ///< Records in a rumor message.
+    std::size_t initial_exchanges = 4;   ///< Random nodes that a starting node exchanges directories with.
+    std::size_t max_table_requests = 3;  ///< Concurrent requests for the table, which is large; a node may be down.
+    Weakening weakening;                 ///< Tests only.
 };
 
-/// The exchange of one node with all others.
+/// Gossip protocol of one node: sends and receives `wire::Gossip`, and merges it into the directory, table and lease.
+///
+/// Log events:
+///   node_displaced   a node has responded at the address of another one, `peer`
+///   table_adopted    a newer table was received from the node `from`
+///   store_returned   a greater era of the store became known
+///   gossip_refused   a received message could not be parsed
 class Gossip {
 public:
     Gossip(Clock& clock, RandomSource& random, EventLog& log, BackEndPort& nodes, NodeDirectory& directory,
            policy::RouteTable& table, policy::TableLease& lease, GossipKnobs knobs);
 
+    /// Starts the periodic anti-entropy exchange.
     void start();
-    /// Answers another node's message.
+    /// Merges another node's message. @return the response: 200 with a `wire::Gossip` body, or 400 if unparsable.
     HttpAnswer handle(const HttpRequest& request);
-    /// Makes this node known, and learns from some of those that it knows.
+    /// Spreads this node's own record, and exchanges directories with `initial_exchanges` random nodes.
     void announceSelf();
-    /// Asks some nodes how fresh their tables are.
+    /// Sends an empty message to random nodes, whose responses report the age of their tables.
     void requestTableAge(std::size_t nodes);
-    /// Asks whoever answers at an address who it is, and exchanges all with it. `done` is called once, with whether
-    /// another node has answered in time.
+    /// Contacts whatever node listens at an address, and starts an exchange with it.
+    /// @param done called once: true if a node other than this one has responded in time.
     void contact(const std::string& address, std::function<void(bool)> done);
-    /// Exchanges all with one node now, unless an exchange with it is under way.
+    /// Starts an anti-entropy exchange with a node unless one is in progress.
     void exchangeWith(const std::string& name);
-    /// The store has told its era, here or to another node.
+    /// Records an era of the store that was read from the store or received from a node.
     void onStoreEra(std::uint64_t era);
-    /// Emitted when the store is known to have come back from an older copy, at each node once for each time.
+    /// Emitted once for each increase of a known store era: the store was restored from an older copy.
     sigc::signal<void()>& signalStoreRestored() { return signal_store_restored_; }
+    /// The greatest known era of the store; 0 if none is known.
     [[nodiscard]] std::uint64_t storeEra() const { return store_era_; }
-    /// A node has told its table's version, here or beside a call.
+    /// Records a node's table version, from gossip or call metadata, and requests the table if it is newer.
     void onTableVersionSeen(const std::string& name, std::uint64_t version);
-    /// Asks one node for a sign of life. `done` is called once, with whether it answered in time;
-    /// the directory has been told by then.
+    /// Checks whether a node responds. An unknown name is ignored.
+    /// @param done called once, after the directory was updated: true if the node itself has responded in time.
     void probe(const std::string& name, Duration timeout, std::function<void(bool)> done);
 
 private:
+    /// Receives the response; null if there is none, or another node has responded.
     using OnResponse = std::function<void(const wire::Gossip*)>;
     void scheduleNext();
     Duration jitter(Duration interval);
@@ -105,14 +110,15 @@
     policy::RouteTable& table_;
     policy::TableLease& lease_;
     GossipKnobs knobs_;
-    std::set<std::string> exchanging_;
-    std::set<std::string> table_requests_;  ///< Part of the former; max_table_requests at most.
-    std::map<std::uint64_t, AttemptHandle> in_flight_;
+    std::set<std::string> exchanging_;  ///< Nodes with an exchange in progress.
+    std::set<std::string>
+        table_requests_;  ///< Those of them that were asked for the table; at most max_table_requests.
+    std::map<std::uint64_t, AttemptHandle> in_flight_;  ///< Messages without a response yet, by attempt id.
     std::uint64_t last_attempt_id_ = 0;
     RumorQueue rumors_;
-    std::uint64_t store_era_ = 0;  ///< The greatest that is known; 0: none.
+    std::uint64_t store_era_ = 0;  ///< The greatest known; 0 if none.
     sigc::signal<void()> signal_store_restored_;
-    std::size_t next_fanout_ = 0;  ///< Of the next round; 0 while none is due.
+    std::size_t next_fanout_ = 0;  ///< Receivers of the next rumor round; 0 while none is scheduled.
     TimerHandle tick_timer_;
     TimerHandle rumor_timer_;
 };
--- a/src/fleet/node_directory.cc
+++ b/src/fleet/node_directory.cc
@@ -36,15 +36,14 @@
 NodeDirectory::NodeDirectory(Clock& clock, wire::NodeRecord self)
     : clock_(clock), self_(std::move(self)), hash_(hashOf(self_)) {}
 
-/// Replaces a record, and keeps what is worked out from the records. The hash is a sum, which does
-/// not depend on the order in which records are kept.
+/// Replaces a record and updates the hash, a sum that does not depend on the order of the records.
 void NodeDirectory::replaceRecord(wire::NodeRecord* record, const wire::NodeRecord& next) {
     hash_ -= record->name().empty() ? 0 : hashOf(*record);
     *record = next;
     hash_ += hashOf(*record);
 }
 
-/// The same for another node's, whose places in the indexes follow its service and its zone.
+/// Replaces another node's record and updates the indexes.
 void NodeDirectory::replaceOtherRecord(KnownNode* known, const wire::NodeRecord& next) {
     const auto old_service = known->record.instance().service();
     const auto old_zone = known->record.zone();
@@ -130,8 +129,8 @@
     signal_self_changed_.emit();
 }
 
-/// Two nodes never hold an address at the same time, and clocks do not tell which of them holds it now. This node's
-/// own address is held by it.
+/// Handles a record whose address belongs to another node as well. Only one of them can be there, and the records do
+/// not show which, as incarnations of different nodes are not comparable. This node's own address is not contested.
 void NodeDirectory::claimAddress(const wire::NodeRecord& record) {
     if (record.address().empty()) {
         return;
@@ -172,8 +171,8 @@
     return true;
 }
 
-/// An earlier life of this node is remembered as later than this one: its clock had been
-/// ahead. This life goes on after it.
+/// Raises the own incarnation above a received one. An earlier process of this node can have a greater incarnation if
+/// its clock was ahead.
 void NodeDirectory::refute(const wire::NodeRecord& record) {
     if (isNewer(record, self_)) {
         auto next = self_;
--- a/src/fleet/node_directory.h
+++ b/src/fleet/node_directory.h
@@ -1,5 +1,5 @@
 /// @file
-/// The nodes that this node knows, each with the instance beside it.
+/// Directory of all known nodes of the fleet, each with the record of its local application instance.
 #pragma once
 
 #include <sigc++/sigc++.h>
@@ -16,97 +16,103 @@
 
 namespace dewcrank::fleet {
 
-/// A node as known here: its record, and what this node has seen of it.
+/// A node's replicated record, and this node's own observations of it, which are not replicated.
 struct KnownNode {
-    std::size_t ordinal = 0;  ///< From 1 on, in the order in which nodes became known: for tables beside the directory.
-    wire::NodeRecord record;
-    TimePoint received{};             ///< When the record came; its cold time runs from then.
-    std::uint64_t table_version = 0;  ///< The newest version it is known to have.
-    TimePoint last_contact{};         ///< When it last answered, or spoke.
-    std::uint32_t failures = 0;       ///< Contacts that failed in a row; over 0: it is suspected.
-    bool is_superseded = false;       ///< Another node has answered at its address since it was last heard there.
-    std::uint64_t rank = 0;           ///< By a hash of its name; the greatest of a zone stands first.
+    std::size_t ordinal = 0;          ///< From 1 in order of discovery; indexes tables of other parts.
+    wire::NodeRecord record;          ///< Only name, zone and address until the node's own record arrives.
+    TimePoint received{};             ///< Arrival of the record; its cold time runs from then.
+    std::uint64_t table_version = 0;  ///< Newest route table that the node is known to have.
+    TimePoint last_contact{};         ///< Last response or message from the node.
+    std::uint32_t failures = 0;       ///< Failed contacts since the last successful one; suspected if over 0.
+    bool is_superseded = false;       ///< Another node uses its address, and it has not responded there since.
+    std::uint64_t rank = 0;           ///< Hash of its name; a zone's nodes are ordered by falling rank.
 };
 
-/// Aggregate: records merge by (incarnation, sequence), so that all nodes end with the same
-/// whatever the order in which they hear of them. A node alone writes its own record; one that
-/// hears of a later life of itself than its own goes on after it.
+/// Holds one record per node. Records merge by (incarnation, sequence): all directories converge, whatever the order of
+/// arrival. Only a node itself writes its record; if it receives a newer one of itself, it raises its incarnation.
 class NodeDirectory {
 public:
+    /// @param self this node's own record.
     NodeDirectory(Clock& clock, wire::NodeRecord self);
 
     [[nodiscard]] const wire::NodeRecord& self() const { return self_; }
-    /// Replaces what this node says of its instance and of itself.
+    /// Updates the state of the local instance, and whether this node is stopping, in the own record.
     void updateSelf(const wire::InstanceRecord& instance, bool is_stopping);
-    /// Replaces what this node says of the shards of quotas that it owns.
-    /// @param offered those of them that others may take over.
+    /// Updates the quota shards that this node owns.
+    /// @param offered those of them that other nodes may take over.
     void setQuotaShards(const std::vector<std::uint32_t>& shards, const std::vector<std::uint32_t>& offered);
-    /// Replaces what this node says of the store: true while its calls to it fail.
+    /// Updates whether this node's calls to the store fail.
     void setStoreUnreachable(bool is_unreachable);
-    /// Merges a record. @return true if it was news.
+    /// Merges a record. @return true if it was newer than the present one.
     bool merge(const wire::NodeRecord& record);
-    /// A node whose record is not known yet, from the store's list.
+    /// Adds a node of which only the address is known. Ignored if the directory has the node.
     void addAddress(const std::string& name, const std::string& zone, const std::string& address);
 
+    /// All nodes but this one, by name.
     [[nodiscard]] const std::map<std::string, KnownNode>& others() const { return others_; }
     [[nodiscard]] std::size_t otherCount() const { return by_ordinal_.size(); }
-    /// One of the others. @param place below `otherCount`.
-    [[nodiscard]] const KnownNode& other(std::size_t position) const { return *by_ordinal_[position]; }
-    /// The other nodes beside whose instance, whatever its state, a service runs. Costs what is
-    /// returned, not the fleet. Valid until the next change of the directory.
+    /// One of the other nodes, in order of discovery. @param index below `otherCount`.
+    [[nodiscard]] const KnownNode& other(std::size_t index) const { return *by_ordinal_[index]; }
+    /// The other nodes whose local instance runs a service, in any state, by name. Indexed: the cost does not depend on
+    /// the size of the fleet. Valid until the next change of the directory.
     [[nodiscard]] const std::vector<const KnownNode*>& othersWithService(const std::string& service) const;
-    /// The other nodes of a zone, by rank. Valid until the next change of the directory.
+    /// The other nodes of a zone, by falling rank. Valid until the next change of the directory.
     [[nodiscard]] const std::vector<const KnownNode*>& othersInZone(const std::string& zone) const;
-    /// Zones of which a node is known, this node's own included.
+    /// Number of zones with a known node, this node's zone included.
     [[nodiscard]] std::size_t zoneCount() const;
+    /// The rank of a node: a hash of its name.
     [[nodiscard]] static std::uint64_t rankOf(const std::string& name);
-    /// When any other node last answered, or spoke; nothing if none ever has.
+    /// Last response or message from any other node; empty if there was none.
     [[nodiscard]] std::optional<TimePoint> lastContact() const { return last_contact_; }
-    /// How many of the other nodes have an instance.
+    /// Number of other nodes with an instance.
     [[nodiscard]] std::size_t otherInstanceCount() const { return instance_count_; }
-    /// The other nodes that say that they own a shard of the quotas.
+    /// The other nodes whose records name them as owners of quota shards.
     [[nodiscard]] const std::vector<const KnownNode*>& shardOwners() const { return shard_owners_; }
+    /// Another node by its name; null if unknown.
     [[nodiscard]] const KnownNode* find(const std::string& name) const;
-    /// The number of a node; 0 for this node, and for one that is not known.
+    /// The ordinal of another node; 0 for this node and for unknown ones.
     [[nodiscard]] std::size_t ordinalOf(const std::string& name) const;
-    /// True if its instance takes calls.
+    /// True if the node's local instance accepts calls.
     [[nodiscard]] static bool isServing(const wire::NodeRecord& record) {
         return !record.is_stopping() && record.instance().state() == wire::INSTANCE_READY;
     }
-    /// True from a failed contact on until the node has been reached or has started anew.
+    /// True from a failed contact until a successful one or a new incarnation.
     [[nodiscard]] static bool isSuspected(const KnownNode& node) { return node.failures > 0; }
-    /// False while it is suspected, or another node has its address.
+    /// False if the node is suspected or superseded at its address.
     [[nodiscard]] static bool isReachable(const KnownNode& node) { return !isSuspected(node) && !node.is_superseded; }
-    /// How much longer its instance is cold.
+    /// Remaining cold time of the node's instance; zero if it is warm.
     [[nodiscard]] static Duration coldLeft(const KnownNode& node, TimePoint now);
 
-    /// The node itself has answered at its address.
+    /// The node has responded at its address: it is neither suspected nor superseded.
     void onReached(const std::string& name);
-    /// The node has spoken. That was perhaps a while ago, before another one got its address.
+    /// A message of the node has arrived. It may be delayed, so that it does not prove that the node has its address.
     void onMessageReceived(const std::string& name);
-    /// Another node has answered at a node's address.
+    /// Another node has responded at the node's address.
     void onSuperseded(const std::string& name);
+    /// A contact with the node has failed.
     void onUnreachable(const std::string& name);
+    /// Records the table version of a node; an older one is ignored.
     void onTableVersion(const std::string& name, std::uint64_t version);
 
-    /// The records newer than the digest, and the names in which the digest is newer.
+    /// Comparison with a digest.
     struct Difference {
-        std::vector<wire::NodeRecord> newer;
-        std::vector<std::string> older;
+        std::vector<wire::NodeRecord> newer;  ///< Records that are newer here, or missing from the digest.
+        std::vector<std::string> older;       ///< Names of the nodes whose records are older here, or missing.
     };
     [[nodiscard]] Difference differenceTo(const std::vector<wire::RecordVersion>& digest) const;
+    /// The versions of all records, this node's included.
     [[nodiscard]] std::vector<wire::RecordVersion> digest() const;
-    /// Equal in two directories that hold the same versions of the same records; never 0.
+    /// Hash of all record versions, for a comparison of two directories; never 0.
     [[nodiscard]] std::uint64_t hash() const;
-    /// The record of a node, this one included; null if unknown.
+    /// The record of any node, this one included; null if unknown.
     [[nodiscard]] const wire::NodeRecord* record(const std::string& name) const;
 
-    /// Emitted with a node's name when its record has changed.
+    /// Emitted with the name of another node when its record or its `is_superseded` has changed.
     sigc::signal<void(const std::string&)>& signalChanged() { return signal_changed_; }
     /// Emitted with a node's name at each failed contact with it.
     sigc::signal<void(const std::string&)>& signalSuspected() { return signal_suspected_; }
-    /// Emitted with the names of two nodes that claim the same address, as soon as the second claim is known: one of
-    /// them has gone, and only an answer from there shows which.
+    /// Emitted with the previous and the new claimant when two records have the same address. The response from that
+    /// address shows which of the two still exists.
     sigc::signal<void(const std::string&, const std::string&)>& signalAddressConflict() {
         return signal_address_conflict_;
     }
@@ -127,18 +133,18 @@
     Clock& clock_;
     wire::NodeRecord self_;
     std::map<std::string, KnownNode> others_;
-    std::vector<const KnownNode*> by_ordinal_;  ///< The same; a node stands at its number less one.
-    std::uint64_t hash_;                        ///< Sum over the present records, this node's included.
-    Index by_service_;                          ///< Others with an instance, by its service; each list by name.
-    Index by_zone_;                             ///< Others whose zone is known; each list by rank.
+    std::vector<const KnownNode*> by_ordinal_;  ///< Pointers into others_; index: ordinal - 1.
+    std::uint64_t hash_;                        ///< Sum of the hashes of all record versions, this node's included.
+    Index by_service_;                          ///< Other nodes with an instance; each list sorted by name.
+    Index by_zone_;                             ///< Other nodes with a known zone; each list by falling rank.
     std::optional<TimePoint> last_contact_;
     std::vector<const KnownNode*> shard_owners_;
-    std::size_t instance_count_ = 0;  ///< All that stand in by_service_.
+    std::size_t instance_count_ = 0;  ///< Total size of the lists of by_service_.
     sigc::signal<void(const std::string&)> signal_changed_;
     sigc::signal<void(const std::string&)> signal_suspected_;
     sigc::signal<void(const std::string&, const std::string&)> signal_address_conflict_;
     sigc::signal<void()> signal_self_changed_;
-    std::map<std::string, std::string> claimant_by_address_;  ///< The node that last claimed an address.
+    std::map<std::string, std::string> claimant_by_address_;  ///< Node of the last record with this address.
 };
 
 }  // namespace dewcrank::fleet
--- a/src/fleet/replicas.h
+++ b/src/fleet/replicas.h
@@ -1,5 +1,5 @@
 /// @file
-/// The instances of a service, as one node's directory has them.
+/// Counts the instances of a service according to a node's directory.
 #pragma once
 
 #include <cstddef>
@@ -9,14 +9,14 @@
 
 namespace dewcrank::fleet {
 
-/// Those that have not said that they leave.
+/// Instances of one service; draining ones and those that have announced their exit are not counted.
 struct Replicas {
-    std::size_t up = 1;           ///< Ready, behind nodes that are reached. This node's own included, if it is.
-    std::size_t unavailable = 0;  ///< All others: ended without a word, unreachable, or beside a node that is stopping.
-    std::size_t position = 0;  ///< Of this node's among those up, by the names of nodes: the same count at all of them.
+    std::size_t up = 1;           ///< Ready, at reachable nodes; includes this node's own instance if it is ready.
+    std::size_t unavailable = 0;  ///< Others: crashed, at an unreachable node, or at a node that is stopping.
+    std::size_t position = 0;     ///< Index of this node among those up, ordered by node name.
 };
 
-/// Costs a walk over the nodes of the service.
+/// Counts the instances of a service; linear in the number of its nodes.
 [[nodiscard]] Replicas replicasOf(const NodeDirectory& directory, const std::string& service);
 
 }  // namespace dewcrank::fleet
--- a/src/fleet/rumor_queue.h
+++ b/src/fleet/rumor_queue.h
@@ -1,8 +1,7 @@
 /// @file
-/// What has changed and is still to be told: rumor mongering with feedback and counters (Demers et
-/// al., "Epidemic algorithms for replicated database maintenance", PODC 1987). A change reaches a
-/// fleet of n nodes in about log n rounds, for a few messages a node, and however many changes
-/// there are at a time, they travel together.
+/// Queue of record changes to spread: rumor mongering with feedback and counters (Demers et al., "Epidemic algorithms
+/// for replicated database maintenance", PODC 1987). A change reaches a fleet of n nodes in about log n rounds, and
+/// concurrent changes share messages.
 #pragma once
 
 #include <cstddef>
@@ -13,24 +12,23 @@
 
 namespace dewcrank::fleet {
 
-/// Constants of the queue.
 struct RumorKnobs {
-    std::uint32_t max_already_known = 2;  ///< Receivers that knew a rumor already, before it is dropped.
-    std::uint32_t max_sends = 16;         ///< Receivers in all, also those that did not answer.
+    std::uint32_t max_already_known = 2;  ///< A rumor is dropped when this many receivers already had it.
+    std::uint32_t max_sends = 16;         ///< Or when it was sent this often, whether or not receivers respond.
 };
 
-/// The rumors of one node: names of records that have changed here lately.
+/// Names of the records that have changed lately, each with its counters.
 class RumorQueue {
 public:
     explicit RumorQueue(RumorKnobs knobs) : knobs_(knobs) {}
 
-    /// It is news here: told from now on, from the beginning if it was told before.
+    /// Adds a rumor; resets the counters of one that is queued.
     void add(const std::string& name) { rumors_[name] = {}; }
-    /// The rumors that were told least often.
+    /// Up to `limit` rumors, the least sent first.
     [[nodiscard]] std::vector<std::string> next(std::size_t limit) const;
-    /// It was sent to another node.
+    /// Counts a send of the rumor to one node.
     void onSent(const std::string& name);
-    /// The other node has said that it knew.
+    /// Counts a receiver that already had the change.
     void onAlreadyKnown(const std::string& name);
     [[nodiscard]] bool empty() const { return rumors_.empty(); }
 
--- a/src/fleet/zone_ranking.h
+++ b/src/fleet/zone_ranking.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which nodes of a zone do what a few of them do for all: they follow the store, and are listed there.
+/// Ranks the nodes of a zone, to select the few that act for all, such as polling the store.
 #pragma once
 
 #include <cstddef>
@@ -9,15 +9,16 @@
 
 namespace dewcrank::fleet {
 
-/// The standing of this node among those of its zone that it reaches and that go on. Nodes need not agree on it: two
-/// that both take the same place do the same work twice, and whoever is found dead has its place taken.
+/// This node's position among the reachable nodes of its zone that are not stopping, ordered by falling rank. Nodes may
+/// disagree on it: two nodes at the same position duplicate work, and a failed node is replaced by its successor.
 class ZoneRanking {
 public:
     explicit ZoneRanking(const NodeDirectory& directory) : directory_(directory) {}
 
-    /// The first nodes that stand before this one. Costs what is returned and the dead among them, not the zone.
+    /// Up to `limit` nodes that rank above this one, the highest first. Costs as much as the result and the
+    /// inactive nodes that are skipped.
     [[nodiscard]] std::vector<const KnownNode*> predecessors(std::size_t limit) const;
-    /// The node that stands just before this one; null if this one is the first.
+    /// The node that ranks directly above this one; null if this one is the first.
     [[nodiscard]] const KnownNode* predecessor() const;
 
 private:
--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A tenant that the owner's table does not have yet, or any more, is asked for again after this.
+/// Wait reported for a tenant that is missing from the owner's table, which may be of another version.
 constexpr std::uint32_t kUnknownTenantRetryMs = 200;
 
 }  // namespace
@@ -45,7 +45,7 @@
     pending_.erase(id);
 }
 
-/// To its owner, unless that has another term by now.
+/// Queued tokens of another term are discarded, as the owner would not accept them.
 void QuotaClient::returnToken(const std::string& tenant, const Token& token) {
     ++totals_.returned;
     auto& shard = shards_[token.shard];
@@ -80,7 +80,7 @@
     return nullptr;
 }
 
-/// Owners of this zone first: bytes between zones cost, and an answer from there takes longer.
+/// Shards in random order, those with owners in this zone first: traffic between zones has a cost and a higher latency.
 std::vector<std::uint32_t> QuotaClient::shardOrder(std::uint32_t shards) {
     std::vector<std::uint32_t> order;
     const auto first = static_cast<std::uint32_t>(random_.below(kShardCount));
@@ -139,7 +139,7 @@
     }
 }
 
-// Questions ------------------------------------------------------------------
+// Requests ------------------------------------------------------------------
 
 wire::QuotaAsk QuotaClient::makeRequest(std::uint32_t shard_index) {
     auto& shard = shards_[shard_index];
@@ -206,13 +206,13 @@
         owner.address(), std::move(request), knobs_.request_timeout, [this, shard_index](const AttemptResult& result) {
             const auto ended = std::exchange(shards_[shard_index].attempt, nullptr);
             wire::QuotaGrant response;
-            const bool is_answered = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
-                                     response.ParseFromString(result.answer.body);
-            onResponse(shard_index, is_answered ? &response : nullptr);
+            const bool has_response = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
+                                      response.ParseFromString(result.answer.body);
+            onResponse(shard_index, has_response ? &response : nullptr);
         });
 }
 
-/// Whoever does not own the shard, or does not answer, is left alone for a time.
+/// A node that does not own the shard, or does not respond, gets no requests for owner_backoff.
 void QuotaClient::onResponse(std::uint32_t shard_index, const wire::QuotaGrant* response) {
     auto& shard = shards_[shard_index];
     shard.is_request_in_flight = false;
@@ -240,7 +240,7 @@
     sendQueued(shard_index);
 }
 
-/// @param numbers those that asked; who got a token is taken out.
+/// Distributes the tokens granted to one tenant. @param ids its requests, in order of arrival.
 void QuotaClient::onGrant(std::uint32_t shard_index, std::uint64_t term, const wire::QuotaGrant::Line& line,
                           std::vector<RequestId>* ids) {
     TokenResult result;
@@ -258,7 +258,7 @@
         }
     }
     for (; left > 0; --left) {
-        returnToken(line.tenant(), result.token);  // Its caller has left meanwhile.
+        returnToken(line.tenant(), result.token);  // Its request was cancelled meanwhile.
     }
     if (line.next_ms() > 0) {
         tenants_[line.tenant()].denied_until[shard_index] = clock_.now() + std::chrono::milliseconds(line.next_ms());
@@ -270,9 +270,9 @@
     }
 }
 
-// Answers --------------------------------------------------------------------
+// Grants --------------------------------------------------------------------
 
-/// The former owner of a shard is asked to stop. Without its answer its lease has to end.
+/// Asks the previous owner of a shard to stop granting. If it does not respond, its lease has to expire first.
 void QuotaClient::requestTakeover(std::uint32_t shard_index, const std::string& previous_owner) {
     const auto* node = directory_.find(previous_owner);
     if (node == nullptr || !fleet::NodeDirectory::isReachable(*node)) {
--- a/src/quota/quota_client.h
+++ b/src/quota/quota_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// Gets the tokens that requests of tenants need, from the owners of the shards.
+/// Acquires quota tokens for the requests of tenants from the owners of the quota shards.
 #pragma once
 
 #include <array>
@@ -21,51 +21,53 @@
 
 namespace dewcrank::quota {
 
-/// Path of questions at a node's address.
+/// Path at a node's address that receives `wire::QuotaAsk` messages.
 inline constexpr std::string_view kQuotaPath = "/fleet/quota";
 
-/// Constants of the asking.
 struct QuotaClientKnobs {
-    Duration request_timeout = 150ms;  ///< An owner that has not answered by then is left alone for a time.
-    Duration owner_backoff = 500ms;    ///< That time.
-    /// Owners that one request asks at most. At 0.62 of its limit a tenant finds nothing at one in ten of its shards.
+    Duration request_timeout = 150ms;  ///< Of a token request to an owner.
+    Duration owner_backoff = 500ms;    ///< No requests to a shard for this long after one to its owner has failed.
+    /// Shards tried per request; a tenant below its limit may still find one of its shards empty.
     std::uint32_t max_owners = 3;
-    /// Tokens that were not spent go back with the next question to their owner, or after this.
-    Duration return_delay = 100ms;
-    /// When a caller beyond its tenant's limit may come back, at the least.
-    Duration min_retry_after = 1s;
-    Weakening weakening;  ///< Tests only.
+    Duration return_delay = 100ms;  ///< Unused tokens are returned with the next token request, or after this.
+    Duration min_retry_after = 1s;  ///< Retry-After of a request over its tenant's limit.
+    Weakening weakening;            ///< Tests only.
 };
 
-/// Says which owner's term a token is of.
+/// Origin of a granted token; needed to return it.
 struct Token {
     std::uint32_t shard = 0;
-    std::uint64_t term = 0;
+    std::uint64_t term = 0;  ///< Of the owner that granted it.
 };
 
-/// What became of a request for a token.
+/// Result of a token request.
 enum class TokenOutcome {
     kGranted,
-    kOverLimit,  ///< The tenant is at its limit.
-    kNoOwner,    ///< No owner could be asked.
+    kOverLimit,  ///< The tenant has used up its limit.
+    kNoOwner,    ///< No shard owner could be reached.
 };
 struct TokenResult {
     TokenOutcome outcome = TokenOutcome::kNoOwner;
-    Token token;             ///< If granted.
-    Duration retry_after{};  ///< If beyond.
+    Token token;             ///< Set if granted.
+    Duration retry_after{};  ///< Set if over the limit.
 };
 
-/// Counts since the start.
+/// Counters since the start of the process.
 struct QuotaTotals {
-    std::uint64_t granted = 0;           ///< To requests of this node.
-    std::uint64_t denied = 0;            ///< Requests of this node that were beyond their tenants' limits.
-    std::uint64_t no_owner = 0;          ///< Requests of this node for which no owner could be asked.
-    std::uint64_t returned = 0;          ///< Tokens that were not spent.
-    std::uint64_t requests_sent = 0;     ///< Questions sent to other nodes.
-    std::uint64_t granted_to_peers = 0;  ///< Tokens handed out to other nodes.
+    std::uint64_t granted = 0;           ///< Tokens granted to requests of this node.
+    std::uint64_t denied = 0;            ///< Requests of this node over their tenants' limits.
+    std::uint64_t no_owner = 0;          ///< Requests of this node for which no shard owner could be reached.
+    std::uint64_t returned = 0;          ///< Unused tokens returned.
+    std::uint64_t requests_sent = 0;     ///< Token requests sent to other nodes.
+    std::uint64_t granted_to_peers = 0;  ///< Tokens granted to other nodes.
 };
 
-/// One question to each owner is under way at a time: what comes meanwhile goes with the next one.
+/// Token client of one node, and the endpoint that grants the tokens of its own shards. At most one request per shard
+/// is in flight; tokens that are needed meanwhile are requested together by the next one.
+///
+/// Log events:
+///   quota_owner_unavailable   an owner has not responded (`no-answer`) or is not the owner (`not-the-owner`)
+///   quota_question_refused    a received request could not be parsed or names no shard
 class QuotaClient {
 public:
     using RequestId = std::uint64_t;
@@ -75,12 +77,14 @@
                 const fleet::NodeDirectory& directory, const policy::RouteTable& table,
                 ShardLeaseManager& lease_manager, QuotaClientKnobs knobs);
 
-    /// Calls back once, at once or later. @return a number for `cancel`; 0 if it has called back.
+    /// Requests one token. `callback` is called once, possibly before this returns.
+    /// @return an id for `cancel`; 0 if the callback has been called.
     RequestId take(const wire::Tenant& tenant, Callback callback);
+    /// Withdraws a request: its callback will not be called.
     void cancel(RequestId id);
-    /// The request for which it was granted has not run.
+    /// Returns the token of a request that was not run.
     void returnToken(const std::string& tenant, const Token& token);
-    /// Answers another node's question.
+    /// Serves another node's token request. @return 200 with a `wire::QuotaGrant` body, or 400 if invalid.
     HttpAnswer handle(const HttpRequest& request);
     [[nodiscard]] const QuotaTotals& totals() const { return totals_; }
 
@@ -88,23 +92,23 @@
     struct PendingRequest {
         std::string tenant;
         Callback callback;
-        std::uint32_t untried_shards = 0;  ///< Shards of the tenant that were not asked yet, a bit each.
+        std::uint32_t untried_shards = 0;  ///< Bit set of the tenant's shards.
         std::uint32_t owners_asked = 0;
-        bool was_denied = false;
+        bool was_denied = false;  ///< A shard had no token.
     };
     struct Tenant {
-        std::array<TimePoint, kShardCount> denied_until{};
+        std::array<TimePoint, kShardCount> denied_until{};  ///< By shard: when it expects a token again.
     };
     using IdsByTenant = std::map<std::string, std::vector<RequestId>>;  ///< By tenant, in order of arrival.
     struct Shard {
         IdsByTenant queued;
-        IdsByTenant in_flight;  ///< With the question that is under way.
+        IdsByTenant in_flight;  ///< Covered by the request in flight.
         bool is_request_in_flight = false;
         AttemptHandle attempt;
-        TimerHandle local_timer;
+        TimerHandle local_timer;  ///< Completes a request to this node itself.
         TimePoint unavailable_until{};
-        std::uint64_t term = 0;  ///< Of the tokens to give back.
-        std::map<std::string, std::uint32_t> to_return;
+        std::uint64_t term = 0;                          ///< Of the tokens in `to_return`.
+        std::map<std::string, std::uint32_t> to_return;  ///< Unused tokens by tenant.
     };
     [[nodiscard]] const wire::NodeRecord* ownerOf(std::uint32_t shard) const;
     [[nodiscard]] std::vector<std::uint32_t> shardOrder(std::uint32_t shards);
@@ -131,9 +135,9 @@
     std::array<Shard, kShardCount> shards_;
     std::map<std::string, Tenant> tenants_;
     TimerHandle return_timer_;
-    std::map<std::uint32_t, AttemptHandle> takeovers_;  ///< By shard.
+    std::map<std::uint32_t, AttemptHandle> takeovers_;  ///< Stop requests to previous owners, by shard.
     RequestId last_id_ = 0;
-    std::map<RequestId, PendingRequest> pending_;  ///< Those that are called back later.
+    std::map<RequestId, PendingRequest> pending_;  ///< Requests without a result yet.
     QuotaTotals totals_;
 };
 
--- a/src/quota/quota_shard.cc
+++ b/src/quota/quota_shard.cc
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// A shard that held less than one token would never hand one out.
+/// Capacity of a bucket in tokens; below one it could never grant any.
 constexpr double kMinDepth = 1;
-/// A tenant with a rate of nothing gets nothing; it is told to ask again after this.
-constexpr double kMaxWaitSeconds = 10;  // seconds
-/// Whoever asks the wrong shard goes by another version of the tenant's row.
+/// Upper bound of the reported wait, for tiny rates.
+constexpr double kMaxWaitSeconds = 10;
+/// Wait reported by a shard that is not of the tenant: the requester's table is of another version.
 constexpr std::uint32_t kWrongShardRetryMs = 200;
 
-/// Tokens that a shard holds at least when it is full, where a tenant has so many.
+/// Least capacity of a shard in tokens, if the tenant's burst allows it.
 constexpr double kMinTokensPerShard = 8;
 
 }  // namespace
@@ -52,7 +52,7 @@
     wire::QuotaGrant::Line line;
     line.set_tenant(tenant.name());
     if (tenant.rate_per_s() <= 0) {
-        line.set_granted(wanted);  // Without a limit.
+        line.set_granted(wanted);  // No limit.
         return line;
     }
     if (!isShardOf(tenant, shard_)) {
--- a/src/quota/quota_shard.h
+++ b/src/quota/quota_shard.h
@@ -1,10 +1,9 @@
 /// @file
-/// One shard of all tenants' quotas: hands out its part of each, whoever asks.
+/// One shard of the tenants' quotas: a token bucket per tenant, with the shard's part of the tenant's limit.
 ///
-/// A quota holds for the fleet, while requests come at every node and most tenants make less than one request a second
-/// at each: a fixed part of the quota for each node would refuse most of what is within it. So tokens are handed out
-/// where they are asked for. They are divided over several shards, each with an owner of its own: while a shard has no
-/// owner, the others go on, and what is handed out can never be more, however the fleet is cut.
+/// A quota applies to the whole fleet. Most tenants send less than one request per second to each node, so an equal
+/// part for each node would reject requests that are within the limit. Tokens are therefore granted by shards, each
+/// with one owner: without its owner a shard grants nothing, and no network partition lets the fleet exceed the quota.
 #pragma once
 
 #include <cstdint>
@@ -16,28 +15,28 @@
 
 namespace dewcrank::quota {
 
-/// Shards of the quotas. While one of them has no owner, an eighth of a large tenant's limit is not to be had.
+/// Number of quota shards. While one has no owner, large tenants lack an eighth of their limits.
 inline constexpr std::uint32_t kShardCount = 8;
 
-/// How many shards a tenant's quota is divided over. Where a shard held less than a few tokens, one would often have
-/// none while others have: at eight shards of one token each a tenant at half of its limit was refused 0.19 of its
-/// requests, at one shard none (simulated, 2 requests a second over 20 nodes).
+/// Number of shards that a tenant's quota is divided over. Tenants with a small burst use few: with only a token or two
+/// per shard, requests would be rejected at an empty shard while others still have tokens.
 std::uint32_t shardCountOf(const wire::Tenant& tenant);
-/// The first of them; the others follow in order, around.
+/// The first shard of a tenant, by a hash of the name; the others follow it, modulo `kShardCount`.
 std::uint32_t firstShardOf(const std::string& tenant);
-/// True if a shard hands out tokens of a tenant.
+/// True if the shard grants tokens of the tenant.
 bool isShardOf(const wire::Tenant& tenant, std::uint32_t shard);
 
-/// A token bucket (rate and burst) that begins empty, so that whatever its owner's former life has handed out, both
-/// together stay within the rate.
+/// A token bucket (rate and burst) that starts empty, so that a change of owner does not exceed the rate.
 class TokenBucket {
 public:
+    /// @param start from when on the bucket fills.
     explicit TokenBucket(TimePoint start) : last_refill_(start) {}
-    /// Takes so many whole tokens as there are. @param rate tokens a second. @param depth the most that it holds.
+    /// Takes up to `wanted` whole tokens. @return the number taken.
+    /// @param rate tokens per second. @param depth capacity in tokens.
     std::uint32_t take(TimePoint now, double rate, double depth, std::uint32_t wanted);
-    /// Tokens that were taken and not spent.
+    /// Puts back tokens that were taken and not used.
     void returnTokens(std::uint32_t tokens) { tokens_ += tokens; }
-    /// Until there is a whole token.
+    /// Time until a whole token is available, at a rate in tokens per second; limited to 10 s.
     [[nodiscard]] Duration timeToNextToken(double rate) const;
 
 private:
@@ -45,14 +44,17 @@
     double tokens_ = 0;
 };
 
-/// Invariant: in every span of time t a shard hands out, over all terms of its owners, at most rate * t + depth tokens
-/// of a tenant, where over all shards the rates sum to the tenant's, and the depths to its burst and one token a shard.
-/// It needs terms that do not overlap (`ShardLease`).
+/// Invariant: in any time span t, a shard grants at most rate * t + depth tokens of a tenant over all terms of its
+/// owners. Over all shards, the rates sum up to the tenant's rate, and the depths to its burst plus one token per
+/// shard. This requires terms that do not overlap (`ShardLease`).
 class QuotaShard {
 public:
+    /// @param term_start from when on tokens accumulate.
     QuotaShard(std::uint32_t shard, TimePoint term_start) : shard_(shard), term_start_(term_start) {}
 
-    /// @param tenant as the table says now. @return tokens granted, and when there is one again.
+    /// Grants up to `wanted` tokens to a node. @param tenant its current row of the table, with the limit.
+    /// @param returned unused tokens that the node gives back.
+    /// @return the number granted; if fewer than wanted, also the time in ms until a token is available.
     wire::QuotaGrant::Line grant(TimePoint now, const wire::Tenant& tenant, std::uint32_t wanted,
                                  std::uint32_t returned);
 
--- a/src/quota/shard_lease.h
+++ b/src/quota/shard_lease.h
@@ -1,5 +1,5 @@
 /// @file
-/// Whether this node may hand out the tokens of one shard now.
+/// Validity of this node's lease on one quota shard.
 #pragma once
 
 #include <optional>
@@ -8,39 +8,41 @@
 
 namespace dewcrank::quota {
 
-/// Constants of the ownership of a shard.
 struct ShardLeaseKnobs {
-    /// An owner that has not been confirmed for this long hands out nothing. A new owner waits as long, so it is also
-    /// how long a shard stands still when its owner is lost: one shard of several.
+    /// A lease expires this long after the request of its last confirmation. A new owner waits as long for the previous
+    /// lease to expire, so the shard is unavailable for that time after its owner was lost.
     Duration term = 8s;
-    double margin_ratio = 0.04;  ///< Of the term, for clocks that run at different rates.
+    double margin_ratio = 0.04;  ///< Share of `term` allowed for clocks that run at different rates.
 };
 
-/// Invariant: of all nodes that the store has ever named as the owner of a shard, at most one hands out tokens at a
-/// time. An owner goes by the moment at which its last confirmation was asked for; whoever takes its place, by the
-/// moment at which it has heard that the store names it: after that, no confirmation of the former can succeed.
+/// Invariant: of all nodes that the store has named as the owner of a shard, at most one grants tokens at a time. The
+/// owner counts its term from when it requested the last confirmation; its successor counts the wait from when it
+/// received its first one, after which the previous owner can no longer be confirmed.
 class ShardLease {
 public:
     explicit ShardLease(ShardLeaseKnobs knobs) : knobs_(knobs) {}
 
-    /// The store names this node as the owner. @param asked when that was asked for. @param answered when it was
-    /// heard. @param is_previous_owner_gone no other process can hand out this shard's tokens any more.
+    /// The store has named this node as the owner.
+    /// @param requested_at when the read of the store was sent.
+    /// @param received_at when its response arrived.
+    /// @param is_previous_owner_gone true if no other process can still grant tokens of the shard: the term starts now.
     void onConfirmed(TimePoint requested_at, TimePoint received_at, bool is_previous_owner_gone);
-    /// The former owner has said that it hands out nothing more.
+    /// The previous owner has confirmed that it no longer grants tokens: the term starts now.
     void onPreviousOwnerStopped(TimePoint now);
-    /// The store names another one, or none.
+    /// The store names another owner, or none.
     void onLost() { confirmed_at_.reset(); }
-    /// True while the store names this node, as far as it has heard.
+    /// True from the first confirmation until `onLost`; the lease may have expired.
     [[nodiscard]] bool isOwner() const { return confirmed_at_.has_value(); }
+    /// True if the term has started and the lease has not expired.
     [[nodiscard]] bool mayGrant(TimePoint now) const;
-    /// True while it waits for the former owner's lease to end.
+    /// True if this node is the owner and its term has not started yet.
     [[nodiscard]] bool waitsForPreviousOwner(TimePoint now) const { return confirmed_at_ && now < term_start_; }
-    /// When this node's term began: from then on it may hand out.
+    /// Start of this node's term, which may lie in the future.
     [[nodiscard]] TimePoint termStart() const { return term_start_; }
 
 private:
     ShardLeaseKnobs knobs_;
-    std::optional<TimePoint> confirmed_at_;  ///< When the last confirmation was asked for.
+    std::optional<TimePoint> confirmed_at_;  ///< Request time of the last confirmation; empty if not the owner.
     TimePoint term_start_{};
 };
 
--- a/src/quota/shard_lease_manager.cc
+++ b/src/quota/shard_lease_manager.cc
@@ -11,14 +11,14 @@
 namespace {
 
 constexpr const char* kLeasePrefix = "shard-";
-/// Of a store that has never come back from an older copy.
+/// Era of a store that was never restored from an older copy.
 constexpr std::uint64_t kFirstEra = 1;
 
 bool contains(const google::protobuf::RepeatedField<std::uint32_t>& shards, std::uint32_t shard) {
     return std::find(shards.begin(), shards.end(), shard) != shards.end();
 }
 
-/// It owns the shard, and can have that confirmed.
+/// True if the node owns the shard and does not offer it for takeover.
 bool ownsConfirmed(const wire::NodeRecord& record, std::uint32_t shard) {
     return contains(record.quota_shards(), shard) && !contains(record.offered_shards(), shard);
 }
@@ -41,7 +41,7 @@
     timer_ = clock_.startTimer(knobs_.check_interval, [this] { checkOwners(); });
 }
 
-/// Only a table with limits needs owners.
+/// Shards need owners only if a tenant has a rate limit.
 bool ShardLeaseManager::hasRateLimits() const {
     const auto& tenants = table_.whole().tenants();
     return std::any_of(tenants.begin(), tenants.end(), [](const auto& it) { return it.rate_per_s() > 0; });
@@ -54,8 +54,8 @@
            });
 }
 
-/// How many others would claim the shard before this node. Owners stand in all zones in turn, so that most nodes ask
-/// one of their own zone.
+/// Number of nodes that would claim the shard before this one. The preferred zone alternates with the shard, so that
+/// most nodes find owners in their own zone.
 std::size_t ShardLeaseManager::candidateRank(std::uint32_t shard) const {
     const auto& self = directory_.self();
     std::set<std::string> zones{self.zone()};
@@ -118,8 +118,8 @@
     });
 }
 
-/// The store may name owners of before, and has forgotten whoever it named since. Whom it names now begins a term of
-/// its own, after as long as those may hand out that it named then.
+/// A store that was restored from an older copy has lost the latest owners. All leases are dropped, and new terms start
+/// only after the lost leases have expired.
 void ShardLeaseManager::checkStoreEra() {
     if (store_.era() == era_ || knobs_.weakening.ignores_store_era) {
         return;
@@ -135,8 +135,8 @@
     publishOwnership();
 }
 
-/// False while an owner may be at work that the store has forgotten: who the record names, or that it names nobody,
-/// does not tell that nobody hands out.
+/// False after the store was restored, until leases that it may have lost have expired: the holder in a record, or its
+/// absence, then does not show that no other node grants tokens.
 bool ShardLeaseManager::isLeaseHistoryComplete() const {
     const auto max_term = std::chrono::duration_cast<Duration>(knobs_.lease.term * (1 + knobs_.lease.margin_ratio));
     return era_ <= kFirstEra || clock_.now() - era_since_ > max_term;
@@ -160,7 +160,8 @@
     return record.holder == directory_.self().name() && record.incarnation == directory_.self().incarnation();
 }
 
-/// Whoever is not reached from here may still be at work: its lease has to end first, which the new owner waits for.
+/// An unreachable holder counts as dead although it may still grant tokens: the new owner waits for its lease to
+/// expire.
 bool ShardLeaseManager::isOwnerLive(std::uint32_t shard, const LeaseRecord& record) const {
     const auto* node = directory_.find(record.holder);
     return node != nullptr && fleet::NodeDirectory::isReachable(*node) && !node->record.is_stopping() &&
@@ -194,7 +195,7 @@
     }
 }
 
-/// A holder that has started anew has lost what it held.
+/// Time after which the holder of a lease has granted nothing, if known: a restarted holder has lost its lease.
 std::optional<TimePoint> ShardLeaseManager::previousOwnerEnd(const LeaseRecord& record) const {
     const auto& self = directory_.self();
     if (!isLeaseHistoryComplete()) {
@@ -207,11 +208,11 @@
         return started_at_;
     }
     const auto* node = directory_.find(record.holder);
-    const bool has_started_anew = node != nullptr && node->record.incarnation() > record.incarnation;
-    return has_started_anew ? std::optional(node->received) : std::nullopt;
+    const bool has_restarted = node != nullptr && node->record.incarnation() > record.incarnation;
+    return has_restarted ? std::optional(node->received) : std::nullopt;
 }
 
-/// What became of it is read back, whatever the answer: it may be lost, and the write be done later.
+/// Whether the write succeeded is read back: a failed call can still be executed by the store.
 void ShardLeaseManager::claim(std::uint32_t shard, const LeaseRecord& current) {
     checks_without_owner_[shard] = 0;
     const auto& self = directory_.self();
@@ -230,7 +231,8 @@
     next_read_ = clock_.now() + knobs_.confirm_retry_interval;
 }
 
-/// What this node cannot have confirmed it offers, and hands out on until its lease ends, or another one takes over.
+/// If the store does not confirm the leases, all shards are offered for takeover; this node continues to grant tokens
+/// until the leases expire or another node takes over.
 void ShardLeaseManager::publishOwnership() {
     std::vector<std::uint32_t> shards;
     const auto now = clock_.now();
@@ -280,7 +282,7 @@
         owned_.begin(), owned_.end(), [now](const auto& entry) { return entry.second.lease.mayGrant(now); }));
 }
 
-/// Written once: an answer that is lost costs the next owner the rest of the lease.
+/// Written without retries: if a write fails, the next owner waits for the lease to expire.
 void ShardLeaseManager::release() {
     is_released_ = true;
     for (const auto& [shard, it] : owned_) {
--- a/src/quota/shard_lease_manager.h
+++ b/src/quota/shard_lease_manager.h
@@ -1,5 +1,5 @@
 /// @file
-/// Sees to it that each shard of the quotas has one owner, through the platform's store.
+/// Acquires and renews this node's leases on quota shards, through the control store.
 #pragma once
 
 #include <sigc++/sigc++.h>
@@ -22,55 +22,60 @@
 
 namespace dewcrank::quota {
 
-/// Constants of the keeping.
 struct ShardLeaseManagerKnobs {
     ShardLeaseKnobs lease;
-    /// Between two looks at who owns what, as the directory says: no call to the store.
-    Duration check_interval = 100ms;
-    /// A shard without an owner is claimed after so many looks in a row: its owner may just be starting. By the next
-    /// candidate after as many more, as the first one may not reach the store, and so on.
+    Duration check_interval = 100ms;  ///< Between two checks of the directory for shards without an owner.
+    /// A shard is claimed by its first candidate after this many checks in a row found no owner, which may be starting.
+    /// Each further candidate waits for as many checks more, in case those before it can't reach the store.
     std::uint32_t checks_before_claim = 3;
-    /// Between two confirmations of an owner, less than half of the lease: one may fail.
-    Duration confirm_interval = 3s;
-    Duration confirm_retry_interval = 700ms;
-    Weakening weakening;  ///< Tests only.
+    Duration confirm_interval = 3s;  ///< Between two reads of the leases; below half of the term: one may fail.
+    Duration confirm_retry_interval = 700ms;  ///< Delay after a failed read or a claim.
+    Weakening weakening;                      ///< Tests only.
 };
 
-/// What this node owns. The first candidate for a shard is the node that ranks first by a hash of node and shard
-/// (highest random weight, Thaler and Ravishankar 1998) among those that are reached, of one zone for each shard in
-/// turn. Nodes need not agree on it: the store's conditional write decides.
+/// Leases of one node. Candidates for a shard are ordered by highest random weight (Thaler and Ravishankar 1998) over
+/// node and shard; nodes of one zone come first, a different zone for each shard. Nodes may disagree on the order: the
+/// store's conditional write decides.
+///
+/// Log events:
+///   quota_shard_owned   this node has become the owner, and grants tokens after `from_ms`
+///   quota_shard_lost    it is no longer the owner; `peer` is the new holder in the store (empty: none), `by-takeover`
+///                       (a new owner has asked this node to stop) or `store-returned` (the store was restored)
+///   store_failed        a read of the leases has failed (`step=leases`)
 class ShardLeaseManager {
 public:
     ShardLeaseManager(Clock& clock, EventLog& log, ControlStore& store, fleet::NodeDirectory& directory,
                       const policy::RouteTable& table, ShardLeaseManagerKnobs knobs);
 
+    /// Starts the periodic check.
     void start();
-    /// Emitted when the store names this node for a shard whose former owner, a node of that name, may still hand out:
-    /// it can be asked to stop.
+    /// Emitted with a shard and its previous owner's name when this node has become the owner and the previous owner's
+    /// lease may not have expired. The receiver may ask that node to stop, which shortens the wait.
     sigc::signal<void(std::uint32_t, const std::string&)>& signalTakeover() { return signal_takeover_; }
-    /// The former owner, in the life that the store knew, has said that it has stopped.
+    /// The previous owner has confirmed that it no longer grants tokens of the shard.
+    /// @param incarnation of the responding process; one before the incarnation in the lease is ignored.
     void onPreviousOwnerStopped(std::uint32_t shard, const std::string& previous_owner, std::uint64_t incarnation);
-    /// Another node says that the store names it: this one hands out nothing more of the shard.
+    /// Stops granting tokens of a shard, on request of its new owner.
     void relinquish(std::uint32_t shard);
-    /// Hands back what it owns: nobody needs to wait for the end of its lease.
+    /// Releases all leases in the store when this node stops, so that the next owners need not wait for expiry.
     void release();
-    /// The shard, if this node may hand out its tokens now; else null.
+    /// The shard if this node may grant its tokens now; else null.
     [[nodiscard]] QuotaShard* grantableShard(std::uint32_t shard);
     [[nodiscard]] bool mayGrant(std::uint32_t shard) const;
-    /// Distinguishes this node's terms as the owner of a shard from each other.
+    /// Identifies this node's current term as the owner of a shard; 0 if it is not the owner.
     [[nodiscard]] std::uint64_t termOf(std::uint32_t shard) const;
-    /// How many shards this node may hand out the tokens of.
+    /// Number of shards with a valid lease.
     [[nodiscard]] std::size_t grantingCount() const;
 
 private:
     struct OwnedShard {
         explicit OwnedShard(const ShardLeaseKnobs& knobs) : lease(knobs) {}
         ShardLease lease;
-        std::string previous_owner;  ///< Whom the store named before, in which life.
+        std::string previous_owner;  ///< Holder of the lease when this node claimed it; empty if none.
         std::uint64_t previous_incarnation = 0;
-        std::optional<TimePoint> previous_end;  ///< By when it had handed out its last token, if that is known.
-        std::uint64_t revision = 0;             ///< Of the store's record that names this node.
-        std::unique_ptr<QuotaShard> shard;      ///< From the begin of the term on.
+        std::optional<TimePoint> previous_end;  ///< Known upper bound of its last grant.
+        std::uint64_t revision = 0;             ///< Of the lease record that names this node.
+        std::unique_ptr<QuotaShard> shard;      ///< Null until the store has named this node.
     };
     void checkOwners();
     [[nodiscard]] bool hasRateLimits() const;
@@ -94,20 +99,20 @@
     fleet::NodeDirectory& directory_;
     const policy::RouteTable& table_;
     ShardLeaseManagerKnobs knobs_;
-    std::map<std::uint32_t, OwnedShard> owned_;                    ///< Shards that the store has named this node for.
-    std::map<std::uint32_t, std::uint32_t> checks_without_owner_;  ///< In a row at which a shard had no owner.
-    bool is_confirmed_ = true;                                     ///< The last read of the leases was answered.
+    std::map<std::uint32_t, OwnedShard> owned_;                    ///< Claimed or owned shards.
+    std::map<std::uint32_t, std::uint32_t> checks_without_owner_;  ///< Consecutive ones, by shard.
+    bool is_confirmed_ = true;                                     ///< The last read of the leases has succeeded.
     sigc::signal<void(std::uint32_t, const std::string&)> signal_takeover_;
-    TimePoint started_at_;   ///< Of this life: an earlier one has handed out nothing since.
-    std::uint64_t era_ = 0;  ///< Of the store, at the last read; 0: it tells none.
-    TimePoint era_since_{};  ///< When it was first seen here.
+    TimePoint started_at_;   ///< Of this process; an earlier incarnation granted nothing after it.
+    std::uint64_t era_ = 0;  ///< Store era at the last read; 0 if unknown.
+    TimePoint era_since_{};  ///< When this node first read it.
     bool is_reading_ = false;
     bool is_released_ = false;
     TimePoint next_read_{};
     TimerHandle timer_;
 };
 
-/// Name of the store's record of a shard.
+/// Name of a shard's lease record in the store.
 std::string leaseNameOf(std::uint32_t shard);
 
 }  // namespace dewcrank::quota
--- a/tests/unit/fleet/failure_detector_test.cc
+++ b/tests/unit/fleet/failure_detector_test.cc
@@ -13,7 +13,7 @@
 
 constexpr Duration kRoundTrip = 1ms;
 
-/// Answers gossip, or says nothing until the time-out.
+/// Responds to gossip after kRoundTrip, or not until the timeout.
 class ScriptedNodes : public BackEndPort {
 public:
     explicit ScriptedNodes(Clock& clock) : clock_(clock) {}
@@ -23,7 +23,7 @@
         result.outcome = responds ? AttemptOutcome::kAnswered : AttemptOutcome::kUnknown;
         result.answer.status = 200;
         wire::Gossip response;
-        response.set_sender("a");  // An answer counts as the node's that it names.
+        response.set_sender("a");  // Must name the expected node.
         result.answer.body = response.SerializeAsString();
         auto attempt = std::make_unique<Running>();
         attempt->timer = clock_.startTimer(responds ? kRoundTrip : timeout,
@@ -92,7 +92,7 @@
     BOOST_TEST(unresponsive.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_does_not_answer_its_probe_is_told_silent_while_calls_run_there) {
+BOOST_AUTO_TEST_CASE(a_node_that_fails_its_probe_is_unresponsive_while_calls_are_in_flight) {
     nodes.responds = false;
     detector.onCallSent("a");
     time.advance(590ms);
@@ -109,7 +109,7 @@
     BOOST_TEST(isSuspected());
     BOOST_TEST(nodes.sent >= 8);
     BOOST_TEST(nodes.sent <= 13);
-    BOOST_TEST(unresponsive.empty());  // No call runs there.
+    BOOST_TEST(unresponsive.empty());  // No call is in flight.
     nodes.responds = true;
     time.advance(2500ms);
     BOOST_TEST(!isSuspected());
@@ -118,7 +118,7 @@
     BOOST_TEST(nodes.sent == sent);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_starts_anew_is_not_suspected_for_its_former_life) {
+BOOST_AUTO_TEST_CASE(a_restarted_node_is_not_suspected) {
     nodes.responds = false;
     directory.onUnreachable("a");
     directory.merge(recordOf("a", 2));
--- a/tests/unit/fleet/gossip_test.cc
+++ b/tests/unit/fleet/gossip_test.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Carries messages between the nodes of a test, and counts their bytes.
+/// Delivers messages between the nodes of a test, and counts messages and bytes.
 class FakeNetwork : public BackEndPort {
 public:
     explicit FakeNetwork(Clock& clock) : clock_(clock) {}
@@ -36,7 +36,7 @@
     std::map<std::string, fleet::Gossip*> nodes;
     std::size_t bytes = 0;
     int messages = 0;
-    int tables = 0;  ///< Answers that held the table.
+    int tables = 0;  ///< Responses that contained the table.
 
 private:
     struct Running : Attempt {
@@ -73,7 +73,7 @@
         left.directory.addAddress("right", "", "right:1");
         right.directory.addAddress("left", "", "left:1");
     }
-    /// Bytes of one exchange.
+    /// Runs one exchange. @return its bytes.
     std::size_t exchange() {
         const auto before = network.bytes;
         left.gossip.exchangeWith("right");
@@ -119,8 +119,7 @@
     BOOST_TEST(left.table.version() == 7U);
 }
 
-/// Many nodes that have the table and know each other, and one that starts with the store's list of
-/// them.
+/// kNodes nodes with the table and complete directories, and a starting one with only their addresses.
 struct FleetFixture {
     FleetFixture() {
         wire::RouteTable table;
@@ -136,10 +135,10 @@
                 node->directory.merge(other->directory.self());
             }
         }
-        time.advance(3s);  // Each has told some others of its table.
+        time.advance(3s);  // Rumors of the table end.
         network.messages = 0;
     }
-    /// How many of the nodes know a record of this version.
+    /// Number of nodes that have this version of the record.
     [[nodiscard]] int countNodesWith(const std::string& name, std::uint64_t sequence) const {
         return static_cast<int>(std::count_if(nodes.begin(), nodes.end(), [&](const auto& node) {
             const auto* record = node->directory.record(name);
@@ -159,12 +158,12 @@
     BOOST_TEST(starting.table.version() == 7U);
     time.advance(1s);
     BOOST_TEST(countNodesWith("starting", 0) >=
-               kNodes * 0.97);  // Exchanges on the timer, not running here, find the rest.
+               kNodes * 0.97);  // The periodic exchange, which would reach the rest, is not started.
     BOOST_TEST(network.tables >= 1);
     BOOST_TEST(network.tables <= 3);
 }
 
-/// The cost of a change at each node does not grow with the fleet, and many changes travel together.
+/// Guards against a cost per node that grows with the fleet, and against one message per change.
 BOOST_FIXTURE_TEST_CASE(a_change_reaches_a_fleet_for_a_few_messages_a_node, FleetFixture) {
     wire::InstanceRecord instance;
     instance.set_id("i1");
@@ -196,31 +195,31 @@
 
 BOOST_FIXTURE_TEST_CASE(a_node_that_does_not_answer_does_not_keep_the_table_from_others, FleetFixture) {
     for (int i = 0; i < 2; ++i) {
-        starting.gossip.exchangeWith("node-" + std::to_string(i));  // Asked, and not answered yet.
+        starting.gossip.exchangeWith("node-" + std::to_string(i));  // Table requests without a response yet.
     }
     starting.gossip.onTableVersionSeen("node-5", 7);
     time.advance(10ms);
     BOOST_TEST(starting.table.version() == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(whoever_answers_at_a_nodes_address_is_not_that_node) {
+BOOST_AUTO_TEST_CASE(a_response_of_another_node_does_not_confirm_the_expected_one) {
     Node other("other", time.clock, network);
     network.nodes["right:1"] = &other.gossip;
-    bool is_answered = true;
-    left.gossip.probe("right", 300ms, [&](bool answered) { is_answered = answered; });
+    bool has_response = true;
+    left.gossip.probe("right", 300ms, [&](bool answered) { has_response = answered; });
     time.advance(100ms);
-    BOOST_TEST(!is_answered);
+    BOOST_TEST(!has_response);
     BOOST_TEST(!fleet::NodeDirectory::isReachable(*left.directory.find("right")));
     BOOST_TEST(fleet::NodeDirectory::isReachable(*left.directory.find("other")));
     network.nodes["right:1"] = &right.gossip;
-    left.gossip.probe("right", 300ms, [&](bool answered) { is_answered = answered; });
+    left.gossip.probe("right", 300ms, [&](bool answered) { has_response = answered; });
     time.advance(100ms);
-    BOOST_TEST(is_answered);
+    BOOST_TEST(has_response);
     BOOST_TEST(fleet::NodeDirectory::isReachable(*left.directory.find("right")));
 }
 
-/// Two records with one address: one question settles whose it is, whichever was heard of first.
-BOOST_AUTO_TEST_CASE(an_address_that_two_nodes_claim_is_asked_for_its_holder) {
+/// Guards against a node that stays reachable at an address that it has lost, in either order of arrival.
+BOOST_AUTO_TEST_CASE(an_address_conflict_is_resolved_by_a_probe) {
     Node holder("holder", time.clock, network);
     network.nodes["shared:1"] = &holder.gossip;
     for (const bool is_first : {true, false}) {
@@ -236,7 +235,7 @@
     }
 }
 
-/// What is told without having been asked for may have been under way for any time.
+/// Guards against a table age from a request, which may have been delayed for any time.
 BOOST_AUTO_TEST_CASE(only_answers_tell_how_fresh_a_table_is) {
     right.lease.onRead(time.clock.now());
     time.advance(1s);
--- a/tests/unit/fleet/node_directory_test.cc
+++ b/tests/unit/fleet/node_directory_test.cc
@@ -60,7 +60,7 @@
     BOOST_TEST(reported == std::vector<std::string>{"a"}, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_new_life_is_not_suspected_for_the_old_one) {
+BOOST_AUTO_TEST_CASE(a_new_incarnation_is_not_suspected) {
     directory.merge(recordOf("a", 1, 1));
     directory.onUnreachable("a");
     directory.merge(recordOf("a", 2, 1));
@@ -81,7 +81,7 @@
     BOOST_TEST(directory.hash() != other.hash());
 }
 
-BOOST_AUTO_TEST_CASE(two_directories_tell_each_other_just_what_is_missing) {
+BOOST_AUTO_TEST_CASE(the_difference_of_two_directories_is_just_what_is_missing) {
     fleet::NodeDirectory other(time.clock, recordOf("other", 1, 1));
     directory.merge(recordOf("a", 1, 2));
     directory.merge(recordOf("b", 1, 1));
@@ -148,8 +148,8 @@
     BOOST_TEST(directory.hash() == other.hash());
 }
 
-/// Only an answer from there tells who holds an address; until it is heard anew, or elsewhere, the former holder is not
-/// used, whatever rumors still say of it.
+/// Guards against calls to a node that has lost its address: a delayed rumor or message must not make it reachable
+/// again.
 BOOST_AUTO_TEST_CASE(a_node_whose_address_another_one_has_is_not_reachable) {
     std::vector<std::string> conflicts;
     directory.signalAddressConflict().connect([&](const std::string& previous, const std::string& claimant) {
@@ -163,7 +163,7 @@
     };
     const auto isReachable = [&](const char* name) { return fleet::NodeDirectory::isReachable(*directory.find(name)); };
     directory.merge(at("old", 9, 1, "x:1"));
-    directory.merge(at("new", 2, 1, "x:1"));  // By its clock it started earlier.
+    directory.merge(at("new", 2, 1, "x:1"));  // Its clock is behind: a lower incarnation.
     BOOST_TEST(conflicts == std::vector<std::string>{"old new"}, boost::test_tools::per_element());
     BOOST_TEST(isReachable("old"));
     directory.onSuperseded("old");
@@ -171,16 +171,16 @@
     directory.merge(at("old", 9, 2, "x:1"));  // A delayed rumor.
     directory.onMessageReceived("old");       // A delayed message.
     BOOST_TEST(!isReachable("old"));
-    directory.onReached("old");  // The address has gone back.
+    directory.onReached("old");  // The node has its address again.
     BOOST_TEST(isReachable("old"));
     directory.onSuperseded("old");
-    directory.merge(at("old", 10, 1, "x:1"));  // A new life.
+    directory.merge(at("old", 10, 1, "x:1"));  // A new incarnation.
     BOOST_TEST(isReachable("old"));
     directory.onSuperseded("old");
-    directory.merge(at("old", 10, 2, "y:1"));  // Elsewhere.
+    directory.merge(at("old", 10, 2, "y:1"));  // Another address.
     BOOST_TEST(isReachable("old"));
     directory.merge(at("former", 7, 1, "self:1"));
-    BOOST_TEST(!isReachable("former"));  // This node itself holds that address.
+    BOOST_TEST(!isReachable("former"));  // This node's own address.
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/fleet/replicas_test.cc
+++ b/tests/unit/fleet/replicas_test.cc
@@ -23,7 +23,7 @@
 
 BOOST_AUTO_TEST_SUITE(unit_fleet_replicas)
 
-BOOST_AUTO_TEST_CASE(those_that_leave_are_neither_up_nor_away) {
+BOOST_AUTO_TEST_CASE(leaving_instances_are_neither_up_nor_unavailable) {
     tests::VirtualTime time;
     fleet::NodeDirectory directory(time.clock, recordOf("c", wire::INSTANCE_READY));
     directory.merge(recordOf("a", wire::INSTANCE_READY));
--- a/tests/unit/fleet/rumor_queue_test.cc
+++ b/tests/unit/fleet/rumor_queue_test.cc
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(unit_fleet_rumor_queue)
 
-BOOST_AUTO_TEST_CASE(a_rumor_is_told_until_enough_receivers_knew_it) {
+BOOST_AUTO_TEST_CASE(a_rumor_is_sent_until_enough_receivers_already_know_it) {
     fleet::RumorQueue queue({2, 16});
     queue.add("a");
     queue.onSent("a");
@@ -14,7 +14,7 @@
     BOOST_TEST(!queue.empty());
     queue.onAlreadyKnown("a");
     BOOST_TEST(queue.empty());
-    queue.onAlreadyKnown("a");  // Of a message that was under way.
+    queue.onAlreadyKnown("a");  // A late response.
     BOOST_TEST(queue.empty());
 }
 
@@ -28,7 +28,7 @@
     BOOST_TEST(queue.empty());
 }
 
-BOOST_AUTO_TEST_CASE(what_was_told_least_goes_first_and_news_begin_again) {
+BOOST_AUTO_TEST_CASE(the_least_sent_rumor_is_first_and_a_new_change_resets_it) {
     fleet::RumorQueue queue({2, 16});
     queue.add("a");
     queue.add("b");
--- a/tests/unit/fleet/zone_ranking_test.cc
+++ b/tests/unit/fleet/zone_ranking_test.cc
@@ -35,7 +35,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(unit_fleet_zone_ranking, RankingFixture)
 
-BOOST_AUTO_TEST_CASE(nodes_of_other_zones_do_not_stand_before_this_one) {
+BOOST_AUTO_TEST_CASE(nodes_of_other_zones_are_not_predecessors) {
     std::size_t greater = 0;
     for (const auto& [name, node] : directory.others()) {
         const bool is_near = node.record.zone() == "north";
@@ -47,7 +47,7 @@
     BOOST_TEST(directory.zoneCount() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(lost_and_stopping_ones_do_not_count_and_come_back) {
+BOOST_AUTO_TEST_CASE(suspected_and_stopping_nodes_are_skipped_until_they_are_back) {
     const auto before = predecessorCount();
     const auto first = ranking.predecessors(1).front()->record.name();
     const auto nearest = ranking.predecessor()->record.name();
--- a/tests/unit/quota/quota_test.cc
+++ b/tests/unit/quota/quota_test.cc
@@ -22,7 +22,7 @@
     return tenant;
 }
 
-/// Most tokens in any span of a window.
+/// Greatest number of tokens granted within any window of this length.
 double maxTokensIn(const std::vector<TimePoint>& granted, Duration window) {
     std::ptrdiff_t max_tokens = 0;
     for (auto begin = granted.begin(); begin != granted.end(); ++begin) {
@@ -35,7 +35,7 @@
 
 BOOST_AUTO_TEST_SUITE(unit_quota)
 
-BOOST_AUTO_TEST_CASE(small_quotas_stand_in_few_shards_and_large_ones_in_all) {
+BOOST_AUTO_TEST_CASE(small_quotas_use_few_shards_and_large_ones_all) {
     struct Case {
         double burst;
         std::uint32_t shards;
@@ -52,7 +52,7 @@
     }
 }
 
-/// Any order of terms, questions and returned tokens: in no span of time more than its rate and its depth.
+/// Guards against more grants in any time span than rate and burst allow, over random requests and changes of owner.
 BOOST_AUTO_TEST_CASE(shards_together_hand_out_no_more_than_the_quota) {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         adapters::SeededRandom random(seed);
@@ -68,7 +68,7 @@
             now += Duration(static_cast<std::int64_t>(random.below(3000)));
             const auto shard_index = static_cast<std::uint32_t>(random.below(quota::kShardCount));
             if (random.below(500) == 0) {
-                shards[shard_index] = quota::QuotaShard(shard_index, now);  // A new owner.
+                shards[shard_index] = quota::QuotaShard(shard_index, now);  // A change of owner.
             }
             const auto wanted = static_cast<std::uint32_t>(1 + random.below(3));
             const auto line = shards[shard_index].grant(now, tenant, wanted, 0);
@@ -83,8 +83,8 @@
     }
 }
 
-/// Of a tenant's requests at 0.62 of its limit, spread over the nodes of a fleet, the share that finds no token.
-/// @param has_shards three shards of it are asked at most; else each node has an equal part of the limit.
+/// Share of a tenant's requests that get no token, at 0.62 of its limit and spread over the nodes of a fleet.
+/// @param has_shards true: up to three of its shards are tried; false: each node has an equal part of the limit.
 double refusedRatio(double rate, std::size_t nodes, bool has_shards, std::uint64_t seed) {
     adapters::SeededRandom random(seed);
     const auto tenant = tenantOf(rate, rate);
@@ -123,13 +123,13 @@
     for (const double rate : {16.0, 60.0, 429.0}) {
         for (const std::size_t nodes : {20U, 71U, 300U}) {
             BOOST_TEST(refusedRatio(rate, nodes, true, 1) < 0.01, rate << " a second over " << nodes);
-            const bool has_part = rate >= static_cast<double>(nodes);  // At least a token a second for each node.
+            const bool has_part = rate >= static_cast<double>(nodes);  // At least a token per second and node.
             BOOST_TEST((has_part || refusedRatio(rate, nodes, false, 1) > 0.05), rate << " a second over " << nodes);
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_limit_that_changes_counts_at_once_and_none_is_none) {
+BOOST_AUTO_TEST_CASE(a_changed_limit_applies_at_once_and_no_limit_grants_all) {
     quota::QuotaShard shard(quota::firstShardOf("house"), kStart);
     BOOST_TEST(shard.grant(kStart + 10s, tenantOf(4, 4), 10, 0).granted() == 4U);
     BOOST_TEST(shard.grant(kStart + 10s, tenantOf(0, 0), 10, 0).granted() == 10U);
@@ -137,11 +137,11 @@
     BOOST_TEST(denied.granted() == 0U);
     BOOST_TEST(denied.next_ms() > 400U);
     BOOST_TEST(denied.next_ms() < 600U);
-    BOOST_TEST(shard.grant(kStart + 10s, tenantOf(2, 2), 1, 1).granted() == 1U);  // One came back.
+    BOOST_TEST(shard.grant(kStart + 10s, tenantOf(2, 2), 1, 1).granted() == 1U);  // One token was returned.
 }
 
-/// The store names one owner after the other, at random times; each hears of it late, or not at all, and is suspended
-/// at random. No two of them may hand out at the same time.
+/// Simulates changes of owner, with delayed and lost confirmations and random outages of nodes.
+/// @return the number of steps at which more than one node may grant.
 std::size_t overlaps(std::uint64_t seed, double margin_ratio, Duration max_delay) {
     constexpr std::size_t kNodes = 4;
     adapters::SeededRandom random(seed);
@@ -152,7 +152,7 @@
         TimePoint requested_at;
         TimePoint received_at;
         std::size_t node;
-        std::size_t named;  ///< Who it was in the middle.
+        std::size_t named;  ///< The owner that the store had named.
     };
     std::vector<Response> responses;
     std::vector<TimePoint> unreachable_until(kNodes, kStart);
@@ -166,8 +166,8 @@
         if (random.below(400) == 0) {
             unreachable_until[node] = now + Duration(static_cast<std::int64_t>(random.below(15'000'000)));
         }
-        const bool is_answered = random.below(3) > 0 && now >= unreachable_until[node];
-        if (owner && is_answered) {
+        const bool has_response = random.below(3) > 0 && now >= unreachable_until[node];
+        if (owner && has_response) {
             const auto delay =
                 Duration(static_cast<std::int64_t>(random.below(static_cast<std::uint64_t>(max_delay.count()))));
             responses.push_back({now, now + delay, node, *owner});
@@ -195,13 +195,13 @@
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         for (const auto max_delay : {Duration(500ms), Duration(4s)}) {
             BOOST_TEST(overlaps(seed, 0.04, max_delay) == 0U, "seed " << seed);
-            unsafe_overlaps += overlaps(seed, -0.9, max_delay);  // Owners hold on longer, successors wait for less.
+            unsafe_overlaps += overlaps(seed, -0.9, max_delay);  // A negative margin: leases overlap.
         }
     }
     BOOST_TEST(unsafe_overlaps > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(whoever_follows_an_owner_that_is_known_to_be_gone_does_not_wait) {
+BOOST_AUTO_TEST_CASE(the_successor_of_a_stopped_owner_does_not_wait) {
     quota::ShardLease lease{{}};
     lease.onConfirmed(kStart, kStart + 4ms, true);
     BOOST_TEST(lease.mayGrant(kStart + 4ms));
