--- a/src/relay/relay_service.cc
+++ b/src/relay/relay_service.cc
@@ -129,8 +129,8 @@
                    .with("request", call.request_id)
                    .with("fingerprint", quarantine::textOf(call.fingerprint))
                    .with("up", conditions.replicas.up)
-                   .with("away", conditions.replicas.away)
-                   .with("place", conditions.replicas.place)
+                   .with("away", conditions.replicas.unavailable)
+                   .with("place", conditions.replicas.position)
                    .with("use", conditions.use));
 }
 
