--- a/src/decision/admission.cc
+++ b/src/decision/admission.cc
@@ -5,62 +5,62 @@
 namespace dewcrank::decision {
 
 namespace {
-/// What arrived is multiplied by this once an interval: a memory of two seconds.
-constexpr double kArrivalFade = 0.95;
-constexpr Duration kFadeInterval = 100ms;
-/// Ranks from this on are of repeats: they come after all priorities.
-constexpr std::uint32_t kRepeatRank = 1000;
-/// Of a request whose cost is not known yet, so that it counts at all.
-constexpr Duration kLeastCost = 1ms;
-/// Up to this level all priorities share nearly evenly; above it the urgent ones go first the more, the higher it is.
-constexpr double kEvenLevel = 0.3;
+/// Arrivals are multiplied by this once per interval: a time constant of two seconds.
+constexpr double kArrivalDecay = 0.95;
+constexpr Duration kDecayInterval = 100ms;
+/// Added to the priority of client retries, so that they rank after all first attempts.
+constexpr std::uint32_t kClientRetryRank = 1000;
+/// Lower bound of the cost of a request, which is 0 while it is unknown.
+constexpr Duration kMinCost = 1ms;
+/// Up to this ratio all priorities are admitted nearly evenly; above it, urgent ones are preferred increasingly.
+constexpr double kEvenAdmitRatio = 0.3;
 }  // namespace
 
-void Admission::fade(TimePoint now, Arrivals* arrivals) {
-    if (now - arrivals->faded < kFadeInterval) {
+void Admission::decay(TimePoint now, Arrivals* arrivals) {
+    if (now - arrivals->decayed_at < kDecayInterval) {
         return;
     }
-    arrivals->faded = now;
-    for (auto& [rank, work] : arrivals->work) {
-        work *= kArrivalFade;
+    arrivals->decayed_at = now;
+    for (auto& [rank, slot_time] : arrivals->slot_time) {
+        slot_time *= kArrivalDecay;
     }
 }
 
-/// What is to be refused is taken from the least urgent first: from each priority down to what it
-/// keeps in any case.
-double Admission::admittedOf(const Arrivals& arrivals, double level, std::uint32_t rank) const {
+/// Share of a rank's requests to admit. Slot time is rejected from the least urgent rank upwards, from each rank down
+/// to its minimum share.
+double Admission::admitProbability(const Arrivals& arrivals, double level, std::uint32_t rank) const {
     double total = 0;
-    double first = 0;
-    for (const auto& [other, work] : arrivals.work) {
-        total += work;
-        first += other < kRepeatRank ? work : 0;
+    double non_retry = 0;
+    for (const auto& [other_rank, slot_time] : arrivals.slot_time) {
+        total += slot_time;
+        non_retry += other_rank < kClientRetryRank ? slot_time : 0;
     }
-    double to_refuse = (1 - level) * total;
-    // Of all but repeats, which are refused first.
-    const double first_level = first > 0 ? std::min(1.0, level * total / first) : level;
-    // The less can be served, the more evenly: a level near zero would leave the last ones nothing.
-    const double even = std::min(1 - first_level, kEvenLevel + 1 - 2 * first_level);
-    const double kept_share = first_level * std::max(knobs_.kept_share, even);
-    for (auto it = arrivals.work.rbegin(); it != arrivals.work.rend(); ++it) {
-        const double least = it->first >= kRepeatRank ? 0.0 : kept_share;
-        const double refused = std::min(to_refuse, (1 - least) * it->second);
+    double to_reject = (1 - level) * total;
+    // Client retries are rejected first, which leaves a higher ratio to the other requests.
+    const double non_retry_ratio = non_retry > 0 ? std::min(1.0, level * total / non_retry) : level;
+    // A low ratio is shared more evenly, or the least urgent priorities would be left with almost nothing.
+    const double even_share = std::min(1 - non_retry_ratio, kEvenAdmitRatio + 1 - 2 * non_retry_ratio);
+    const double min_share = non_retry_ratio * std::max(knobs_.min_share, even_share);
+    for (auto it = arrivals.slot_time.rbegin(); it != arrivals.slot_time.rend(); ++it) {
+        const double min_kept = it->first >= kClientRetryRank ? 0.0 : min_share;
+        const double rejected = std::min(to_reject, (1 - min_kept) * it->second);
         if (it->first == rank) {
-            return it->second > 0 ? 1 - refused / it->second : 1;
+            return it->second > 0 ? 1 - rejected / it->second : 1;
         }
-        to_refuse -= refused;
+        to_reject -= rejected;
     }
     return 1;
 }
 
-bool Admission::admits(TimePoint now, const Bottleneck& bottleneck, std::uint32_t priority, bool is_repeat) {
+bool Admission::admits(TimePoint now, const Bottleneck& bottleneck, std::uint32_t priority, bool is_client_retry) {
     if (bottleneck.service.empty()) {
         return true;
     }
     auto& arrivals = arrivals_[bottleneck.service];
-    fade(now, &arrivals);
-    const auto rank = priority + (is_repeat ? kRepeatRank : 0);
-    arrivals.work[rank] += toSeconds(std::max(bottleneck.cost, kLeastCost));
-    return bottleneck.level >= 1 || random_.unit() < admittedOf(arrivals, bottleneck.level, rank);
+    decay(now, &arrivals);
+    const auto rank = priority + (is_client_retry ? kClientRetryRank : 0);
+    arrivals.slot_time[rank] += toSeconds(std::max(bottleneck.cost, kMinCost));
+    return bottleneck.level >= 1 || random_.unit() < admitProbability(arrivals, bottleneck.level, rank);
 }
 
 }  // namespace dewcrank::decision
--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -1,7 +1,7 @@
 /// @file
-/// Refuses whole trees of calls at their entry, before any hop has worked, by the level of the
-/// service that is the bottleneck below. The idea of levels that follow the load of a service
-/// and are applied upstream is DAGOR's (Zhou et al., SoCC 2018).
+/// Overload admission at the entry: rejects requests before their first hop, by the admission ratio of the
+/// bottleneck service of their route. Follows DAGOR (Zhou et al., SoCC 2018), which applies the admission levels
+/// of an overloaded service upstream.
 #pragma once
 
 #include <cstdint>
@@ -16,32 +16,33 @@
 
 /// Constants of the admission.
 struct AdmissionKnobs {
-    /// Each priority keeps this part of the level at least, whatever is more urgent: none starves.
-    double kept_share = 0.3;
+    double min_share = 0.3;  ///< Of the admission ratio that each priority keeps, so that none starves.
 };
 
-/// The share of requests that this entry admits, for each bottleneck.
+/// Admits or rejects each request by its rank and by the admission ratio of its bottleneck service.
 class Admission {
 public:
     Admission(RandomSource& random, AdmissionKnobs knobs) : random_(random), knobs_(knobs) {}
 
-    /// Decides on a caller's request. @param bottleneck of its route. @param priority 0 is refused last.
-    /// @param is_repeat the caller has asked before: repeats are refused before all others, so
-    /// that impatience gains nothing and what is refused is refused once.
-    bool admits(TimePoint now, const Bottleneck& bottleneck, std::uint32_t priority, bool is_repeat);
+    /// Counts a request and decides whether it is admitted.
+    /// @param bottleneck        of the request's route; a request without a known bottleneck is admitted.
+    /// @param priority          0 is rejected last.
+    /// @param is_client_retry   rejected before all first attempts, so that retrying gains a client nothing.
+    /// @return true if the request is admitted.
+    bool admits(TimePoint now, const Bottleneck& bottleneck, std::uint32_t priority, bool is_client_retry);
 
 private:
-    /// Slot time at the bottleneck that was asked for by each rank, in seconds, fading.
+    /// Slot time in seconds that arriving requests need at one bottleneck, by rank; decays exponentially.
     struct Arrivals {
-        TimePoint faded{};
-        std::map<std::uint32_t, double> work;
+        TimePoint decayed_at{};
+        std::map<std::uint32_t, double> slot_time;
     };
-    static void fade(TimePoint now, Arrivals* arrivals);
-    [[nodiscard]] double admittedOf(const Arrivals& arrivals, double level, std::uint32_t rank) const;
+    static void decay(TimePoint now, Arrivals* arrivals);
+    [[nodiscard]] double admitProbability(const Arrivals& arrivals, double level, std::uint32_t rank) const;
 
     RandomSource& random_;
     AdmissionKnobs knobs_;
-    std::map<std::string, Arrivals> arrivals_;  ///< By bottleneck.
+    std::map<std::string, Arrivals> arrivals_;  ///< By bottleneck service.
 };
 
 }  // namespace dewcrank::decision
--- a/src/decision/bottleneck_view.cc
+++ b/src/decision/bottleneck_view.cc
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// A relay's load goes at the latest after this part of its time.
-constexpr int kSweepsInMemory = 4;
+/// Stale relay loads are evicted this often per `load_ttl`.
+constexpr int kEvictionsPerTtl = 4;
 
 }  // namespace
 
-void BottleneckView::approach(double* average, double value, bool is_first) const {
+void BottleneckView::updateAverage(double* average, double value, bool is_first) const {
     *average += (value - *average) * (is_first ? 1 : knobs_.report_weight);
 }
 
@@ -21,82 +21,87 @@
                               const std::string& relay, const RouteReport& report) {
     onRelayLoad(now, &services_[service], relay, report.load);
     auto& it = routes_[route];
-    const bool is_first = it.service != service || now - it.reported > 2 * knobs_.memory;
+    const bool is_first = it.service != service || now - it.last_report > 2 * knobs_.report_ttl;
     it.service = service;
     it.is_inner = report.is_inner.value_or(it.is_inner);
-    approach(&it.time, toSeconds(report.time), is_first);
-    it.reported = now;
-    onBelow(&it, report.below);
+    updateAverage(&it.time, toSeconds(report.time), is_first);
+    it.last_report = now;
+    updateDownstream(&it, report.below);
     if (!report.below.service.empty()) {
-        onTold(now, report.below);
+        onReportedRatio(now, report.below);
     }
 }
 
-void BottleneckView::onBelow(Route* route, const Bottleneck& below) const {
+void BottleneckView::updateDownstream(Route* route, const Bottleneck& below) const {
     for (auto& [service, it] : route->below) {
-        it.presence += ((service == below.service ? 1 : 0) - it.presence) * knobs_.presence_weight;
+        it.reported_share += ((service == below.service ? 1 : 0) - it.reported_share) * knobs_.reported_share_weight;
     }
     if (below.service.empty()) {
         return;
     }
     const auto [found, is_new] = route->below.try_emplace(below.service);
-    approach(&found->second.cost, toSeconds(below.cost), is_new);
-    found->second.presence = is_new ? 1 : found->second.presence;
+    updateAverage(&found->second.cost, toSeconds(below.cost), is_new);
+    found->second.reported_share = is_new ? 1 : found->second.reported_share;
 }
 
 void BottleneckView::onRelayLoad(TimePoint now, Service* service, const std::string& relay,
                                  const ServiceLoad& load) const {
-    sweep(now, service);
+    evictStale(now, service);
     auto& it = service->relays[relay];
     service->sum -= it.load;
     service->sum += load;
     it = {load, now};
-    service->reported = now;
+    service->last_report = now;
 }
 
-/// Relays that were not heard for a while say nothing of the present.
-void BottleneckView::sweep(TimePoint now, Service* service) const {
-    if (now - service->swept < knobs_.load_memory / kSweepsInMemory) {
+/// Removes the loads of relays without a recent report, and sums the others anew to remove rounding errors.
+void BottleneckView::evictStale(TimePoint now, Service* service) const {
+    if (now - service->last_eviction < knobs_.load_ttl / kEvictionsPerTtl) {
         return;
     }
-    service->swept = now;
-    std::erase_if(service->relays, [&](const auto& entry) { return now - entry.second.reported > knobs_.load_memory; });
+    service->last_eviction = now;
+    std::erase_if(service->relays, [&](const auto& entry) { return now - entry.second.last_report > knobs_.load_ttl; });
     service->sum = {};
     for (const auto& [name, it] : service->relays) {
         service->sum += it.load;
     }
 }
 
-void BottleneckView::onTold(TimePoint now, const Bottleneck& below) {
+/// A new ratio weighs more the longer ago the last one was reported.
+void BottleneckView::onReportedRatio(TimePoint now, const Bottleneck& below) {
     auto& service = services_[below.service];
-    const auto age = service.told ? toSeconds(now - *service.told) : std::numeric_limits<double>::infinity();
-    const double weight = std::max(knobs_.report_weight, 1 - std::exp(-age / toSeconds(knobs_.told_averaging)));
-    service.told_level += (below.level - service.told_level) * weight;
-    service.told = now;
+    const auto age = service.last_ratio_report ? toSeconds(now - *service.last_ratio_report)
+                                               : std::numeric_limits<double>::infinity();
+    const double weight = std::max(knobs_.report_weight, 1 - std::exp(-age / toSeconds(knobs_.ratio_averaging_time)));
+    service.reported_ratio += (below.level - service.reported_ratio) * weight;
+    service.last_ratio_report = now;
 }
 
-double BottleneckView::faded(TimePoint now, TimePoint reported, double level) const {
-    const double age = toSeconds(now - reported) / toSeconds(knobs_.memory);
+/// Holds a ratio for `report_ttl` after its report, then raises it linearly to 1 over the same time.
+double BottleneckView::decayTowardOne(TimePoint now, TimePoint last_report, double level) const {
+    const double age = toSeconds(now - last_report) / toSeconds(knobs_.report_ttl);
     return level + (1 - level) * std::clamp(age - 1, 0.0, 1.0);
 }
 
-double BottleneckView::levelOf(TimePoint now, const std::string& service) const {
+double BottleneckView::admitRatioOf(TimePoint now, const std::string& service) const {
     const auto found = services_.find(service);
     if (found == services_.end()) {
         return 1;
     }
     const auto& it = found->second;
-    const bool has_own = it.reported && (!it.told || now - *it.reported <= knobs_.memory || *it.reported > *it.told);
-    if (has_own) {
-        return faded(now, *it.reported, it.sum.level());
+    const bool has_own_report =
+        it.last_report && (!it.last_ratio_report || now - *it.last_report <= knobs_.report_ttl ||
+                           *it.last_report > *it.last_ratio_report);
+    if (has_own_report) {
+        return decayTowardOne(now, *it.last_report, it.sum.level());
     }
-    return it.told ? faded(now, *it.told, it.told_level) : 1;
+    return it.last_ratio_report ? decayTowardOne(now, *it.last_ratio_report, it.reported_ratio) : 1;
 }
 
 BottleneckView::Costs BottleneckView::costsOf(const Route& route) const {
     Costs costs;
     for (const auto& [service, it] : route.below) {
-        if (it.presence >= knobs_.least_presence) {
+        if (it.reported_share >= knobs_.min_reported_share) {
             costs[service] = it.cost;
         }
     }
@@ -104,20 +109,20 @@
     return costs;
 }
 
-Bottleneck BottleneckView::leastAmong(TimePoint now, const Costs& costs) const {
-    Bottleneck least;
+Bottleneck BottleneckView::lowestAmong(TimePoint now, const Costs& costs) const {
+    Bottleneck lowest;
     for (const auto& [service, cost] : costs) {
-        const double level = levelOf(now, service);
-        if (least.service.empty() || level < least.level) {
-            least = {service, level, fromSeconds(cost)};
+        const double level = admitRatioOf(now, service);
+        if (lowest.service.empty() || level < lowest.level) {
+            lowest = {service, level, fromSeconds(cost)};
         }
     }
-    return least;
+    return lowest;
 }
 
 Bottleneck BottleneckView::least(TimePoint now, const std::string& route) const {
     const auto found = routes_.find(route);
-    return found == routes_.end() ? Bottleneck{} : leastAmong(now, costsOf(found->second));
+    return found == routes_.end() ? Bottleneck{} : lowestAmong(now, costsOf(found->second));
 }
 
 Bottleneck BottleneckView::leastBelow(TimePoint now, const std::string& route, const CallGraph& graph) const {
@@ -131,7 +136,7 @@
             sum[service] += calls * cost;
         }
     }
-    return leastAmong(now, sum);
+    return lowestAmong(now, sum);
 }
 
 bool BottleneckView::isInner(const std::string& route) const {
@@ -140,14 +145,14 @@
 }
 
 Bottleneck BottleneckView::leastOfAll(TimePoint now) const {
-    Bottleneck least;
+    Bottleneck lowest;
     for (const auto& [service, it] : services_) {
-        const double level = levelOf(now, service);
-        if (least.service.empty() || level < least.level) {
-            least = {service, level, {}};
+        const double level = admitRatioOf(now, service);
+        if (lowest.service.empty() || level < lowest.level) {
+            lowest = {service, level, {}};
         }
     }
-    return least;
+    return lowest;
 }
 
 }  // namespace dewcrank::decision
--- a/src/decision/call_graph.h
+++ b/src/decision/call_graph.h
@@ -1,11 +1,10 @@
 /// @file
-/// Learns which calls an instance makes for which of its requests, and how many.
+/// Learns how many calls an instance makes to each internal route in one run of each of its own routes.
 ///
-/// An inner call does not name the request that it is made for. But it ends at that request's
-/// deadline, if that comes before its own usual one; so the deadline that it gives is then, to the
-/// millisecond, that of the request. Few requests come so near their end by themselves. So a small
-/// sample of them is handed a deadline that is shorter than a call's usual one, still several times
-/// what such a request takes, and unlike that of any other request that runs.
+/// An internal call does not name the request that it is made for, but it must end by that request's deadline. If
+/// this is earlier than the call's usual timeout, the call's deadline equals the request's and identifies it. For
+/// a small sample of requests the deadline is therefore shortened: below the usual timeout of the calls, several
+/// times the route's mean time, and unique among the requests in progress.
 #pragma once
 
 #include <cstddef>
@@ -20,65 +19,60 @@
 
 namespace dewcrank::decision {
 
-/// What a call takes over from the request that it is made for.
+/// What an internal call inherits from the request that it is made for.
 struct Lineage {
-    double repeat_share = 0;  ///< How likely it is made for a run that was a repeat, from 0 to 1.
-    double represents = 1;    ///< Requests at entries for each that was admitted: at least 1.
+    double repeat_share = 0;  ///< Probability that the request was a retry, from 0 to 1.
+    double represents = 1;    ///< Requests that arrived at entries per admitted one: at least 1.
 };
 
 /// Constants of the estimate.
 struct CallGraphKnobs {
-    /// A call's deadline and its request's differ by no more than this: both are whole
-    /// milliseconds, and a call takes a moment to arrive.
-    Duration tolerance = 3ms;
-    Duration half_life = 30s;  ///< Counts are halved this often.
-    /// A sample's deadline is this part of the usual one of the calls that it is to show: a call may
-    /// come late in its run and still be recognised.
-    double sample_share = 0.85;
-    /// A sample has at least this many times the mean time of its route's runs.
-    double least_room = 3;
-    std::uint32_t learning_interval = 1;  ///< One run in so many is a sample while a route is unknown,
-    std::uint32_t known_interval = 64;    ///< and one in so many afterwards, to see changes.
-    double enough_samples = 4;            ///< Whole runs, before anything is said of a route's calls.
-    /// Runs that failed may have made fewer calls than they would have; so more are asked for.
-    double enough_failed_samples = 12;
-    /// A route that makes fewer calls than this to another one, for each of its requests, does not
-    /// depend on it.
-    double least_calls = 0.05;
-    double time_weight = 0.1;  ///< Of one run in the moving average of a route's time.
-    /// An instance fails a request at once when one of its calls has failed: 20 ms at most on the
-    /// bench's days that were looked at, more on a machine that is short of processor time.
-    Duration failure_memory = 100ms;
+    Duration tolerance = 3ms;             ///< Greatest difference of the deadlines of a call and its request: both
+                                          ///< are rounded to milliseconds, and a call takes a moment to arrive.
+    Duration half_life = 30s;             ///< Counts are halved this often.
+    double sample_share = 0.85;           ///< Timeout of a sample as a share of the calls' usual timeout. The rest
+                                          ///< lets calls that are made late in a run be identified.
+    double min_time_factor = 3;           ///< A sample has at least this many times the mean time of its route.
+    std::uint32_t learning_interval = 1;  ///< One run in this many is a sample while a route's calls are unknown,
+    std::uint32_t known_interval = 64;    ///< and one in this many afterwards, to detect changes.
+    double min_samples = 4;               ///< Completed sample runs before an estimate is given.
+    double min_failed_samples = 12;       ///< The same for failed runs, which may have ended before some calls.
+    double min_calls = 0.05;              ///< A route depends on a callee if it calls it at least this often per run.
+    double time_weight = 0.1;             ///< Of one run in the moving average of a route's time.
+    Duration failure_ttl = 100ms;         ///< A failed call explains a failure of the instance for this long.
 };
 
-/// Aggregate: the runs and the calls of one instance. Until enough has been seen, every route counts
-/// as making every call once.
+/// The runs of one instance and the calls that they make. Until enough samples are known, every route counts as
+/// calling every internal route once per run.
 class CallGraph {
 public:
     using RunNumber = std::uint64_t;
 
     explicit CallGraph(CallGraphKnobs knobs) : knobs_(knobs) {}
 
-    /// The instance is about to be sent a request.
-    /// @param deadline moved to what the instance is to be handed if the run becomes a sample.
+    /// Registers a request that is about to be sent to the instance.
+    /// @param deadline   shortened to the deadline to send to the instance if the run becomes a sample.
+    /// @return the run's id, for `onRunEnded`.
     RunNumber onRunBegan(TimePoint now, const std::string& route, const Lineage& lineage, TimePoint* deadline);
-    /// @param is_whole it was answered with success, so that it has made all of its calls.
-    void onRunEnded(TimePoint now, RunNumber number, bool is_whole);
-    /// The instance has called `callee`, a route of the table. @param given the time it gives.
-    /// @return what the call takes over: of its run if that is known, else the mean of what runs.
-    Lineage onCall(TimePoint now, const std::string& callee, Duration given);
-    /// A call that the instance made has failed, and it was told so.
+    /// @param is_complete   the response was a success, so the run has made all of its calls.
+    void onRunEnded(TimePoint now, RunNumber id, bool is_complete);
+    /// Counts a call that the instance makes to the route `callee`.
+    /// @param timeout   of the call.
+    /// @return the context of the run that makes the call if that is identified, else the mean over all runs in
+    /// progress.
+    Lineage onCall(TimePoint now, const std::string& callee, Duration timeout);
+    /// Registers that a call of the instance has failed.
     void onCallFailed(TimePoint now) { failed_calls_.push_back(now); }
-    /// The instance has answered a request with a failure.
-    /// @return true if that follows from a failed call, which then explains no other failure.
+    /// Attributes a failure response of the instance to a failed call, which then explains no other failure.
+    /// @param run_began   when the failed request was sent to the instance.
+    /// @return true if a call has failed during the run and within `failure_ttl`.
     bool explainFailure(TimePoint now, TimePoint run_began);
 
-    /// Calls of `callee` in each run of `route`; nothing if too little was seen.
+    /// @return calls to `callee` per run of `route`; nothing if there are too few samples.
     [[nodiscard]] std::optional<double> callsPerRun(const std::string& route, const std::string& callee) const;
-    /// False if requests of `route` make no calls of `callee`.
+    /// @return false if requests of `route` are known to make no calls to `callee`.
     [[nodiscard]] bool depends(const std::string& route, const std::string& callee) const;
-    /// Calls of one callee in each run of `route`, of the callee that gets most; 0 if runs make none, or the
-    /// instance was not seen to make any.
+    /// @return calls per run of `route` to the callee that it calls most; 0 if it makes none.
     [[nodiscard]] double mostCalls(const std::string& route) const;
 
 private:
@@ -86,45 +80,45 @@
         std::string route;
         Lineage lineage;
         TimePoint began{};
-        TimePoint deadline{};                ///< That the instance was handed.
-        bool is_alone = true;                ///< No other run has had nearly the same deadline meanwhile.
-        std::map<std::string, double> made;  ///< Recognised calls, by callee.
+        TimePoint deadline{};                      ///< As sent to the instance.
+        bool has_unique_deadline = true;           ///< No other run has had nearly the same deadline meanwhile.
+        std::map<std::string, double> calls_made;  ///< Identified calls, by callee.
     };
-    /// Samples of one route's calls of one callee; counts fade.
+    /// Samples of one route's calls to one callee; counts decay.
     struct Samples {
-        double whole_runs = 0;
-        double calls_of_whole = 0;
+        double complete_runs = 0;
+        double calls_of_complete = 0;
         double failed_runs = 0;
         double calls_of_failed = 0;
     };
-    /// What is known of one route of the instance. What runs: `running` equals the number of runs_ of it.
+    /// Estimates of one route of the instance.
     struct Route {
         double mean_time = 0;  ///< Seconds; 0 before the first run has ended.
         std::uint32_t since_sample = 0;
-        std::uint32_t running = 0;
-        Lineage sum{0, 0};  ///< Over what runs.
+        std::uint32_t running = 0;  ///< Invariant: the number of entries of `runs_` with this route.
+        Lineage sum{0, 0};          ///< Over the runs in progress.
         std::map<std::string, Samples> by_callee;
     };
 
-    void fade(TimePoint now);
-    [[nodiscard]] bool hasRoom(const Route& route, Duration usual) const;
+    void decay(TimePoint now);
+    [[nodiscard]] bool hasAmpleTime(const Route& route, Duration usual) const;
     [[nodiscard]] bool isSampleDue(const Route& route) const;
     [[nodiscard]] Duration sampleTime(const Route& route) const;
-    [[nodiscard]] TimePoint unlikeOthers(TimePoint deadline) const;
-    void markNeighbours(Run* run);
-    [[nodiscard]] Run* recognise(TimePoint deadline);
-    [[nodiscard]] Lineage meanLineage(const std::string& callee) const;
-    void count(const Run& run, bool is_whole);
+    [[nodiscard]] TimePoint findUniqueDeadline(TimePoint deadline) const;
+    void markDeadlineCollisions(Run* run);
+    [[nodiscard]] Run* findRunByDeadline(TimePoint deadline);
+    [[nodiscard]] Lineage meanContext(const std::string& callee) const;
+    void addSample(const Run& run, bool is_complete);
 
     CallGraphKnobs knobs_;
-    RunNumber last_number_ = 0;
-    std::map<RunNumber, Run> runs_;                    ///< What runs.
-    std::multimap<TimePoint, RunNumber> by_deadline_;  ///< The same.
+    RunNumber last_id_ = 0;
+    std::map<RunNumber, Run> runs_;                    ///< In progress.
+    std::multimap<TimePoint, RunNumber> by_deadline_;  ///< Ids of `runs_`.
     std::map<std::string, Route> routes_;
-    std::map<std::string, Duration> callees_;  ///< The usual time that calls give, by route.
+    std::map<std::string, Duration> callees_;  ///< Usual timeout of the calls, by route.
     UsualDeadlines usual_;
-    std::deque<TimePoint> failed_calls_;  ///< In order of time; those that explain nothing yet.
-    TimePoint faded_{};
+    std::deque<TimePoint> failed_calls_;  ///< In order of time; those that explain no failure yet.
+    TimePoint decayed_at_{};
 };
 
 }  // namespace dewcrank::decision
--- a/src/decision/instance_demand.cc
+++ b/src/decision/instance_demand.cc
@@ -6,13 +6,12 @@
 
 namespace {
 
-constexpr double kFirstTime = 0.05;   ///< Seconds, of a route that has not been answered yet.
-constexpr double kLeastWindow = 0.3;  ///< Seconds: a shorter time since the start tells no rate.
-constexpr double kLeastSlots = 1e-6;
-/// Below the first of these parts of its slots in use a service holds nothing back, above the second
-/// it is the one that does.
-constexpr double kFreeBusy = 0.5;
-constexpr double kBoundBusy = 0.8;
+constexpr double kInitialTime = 0.05;  ///< Slot time in seconds assumed for a route without a response.
+constexpr double kMinWindow = 0.3;     ///< Seconds; rates over a shorter time are too noisy.
+constexpr double kMinSlots = 1e-6;
+/// Shares of the slots in use: up to the first a service counts as no bottleneck, from the second on as one.
+constexpr double kIdleUtilization = 0.5;
+constexpr double kSaturatedUtilization = 0.8;
 
 }  // namespace
 
@@ -34,14 +33,15 @@
     if (demand <= capacity) {
         return 1;
     }
-    const double level = std::max(0.0, capacity) / std::max(demand, kLeastSlots);
-    const double used = busy / std::max(capacity, kLeastSlots);
-    const double free = std::clamp((kBoundBusy - used) / (kBoundBusy - kFreeBusy), 0.0, 1.0);
-    return level + (1 - level) * free;
+    const double level = std::max(0.0, capacity) / std::max(demand, kMinSlots);
+    const double used = busy / std::max(capacity, kMinSlots);
+    const double idle =
+        std::clamp((kSaturatedUtilization - used) / (kSaturatedUtilization - kIdleUtilization), 0.0, 1.0);
+    return level + (1 - level) * idle;
 }
 
 InstanceDemand::Span& InstanceDemand::spanAt(TimePoint now) {
-    const auto number = numberOf(now);
+    const auto number = spanNumber(now);
     auto& span = spans_[static_cast<std::size_t>(number) % spans_.size()];
     if (span.number != number) {
         span = {number, 0, 0};
@@ -49,12 +49,12 @@
     return span;
 }
 
-/// Counts the slots in use up to now, span by span.
+/// Adds the slots in use since the last change to the spans up to now.
 void InstanceDemand::addBusy(TimePoint now) {
     auto from = std::max(busy_since_, now - knobs_.window);
     busy_since_ = now;
     while (from < now) {
-        const TimePoint span_end(spanLength() * (numberOf(from) + 1));
+        const TimePoint span_end(spanLength() * (spanNumber(from) + 1));
         const auto to = std::min(span_end, now);
         spanAt(from).busy += running_ * toSeconds(to - from);
         from = to;
@@ -62,8 +62,8 @@
 }
 
 void InstanceDemand::onArrival(TimePoint now, const std::string& route, double represents) {
-    if (began_ == TimePoint{}) {
-        began_ = now;
+    if (started_ == TimePoint{}) {
+        started_ = now;
     }
     spanAt(now).arrived_work += represents * toSeconds(timeOf(route));
 }
@@ -80,13 +80,13 @@
 
 Duration InstanceDemand::timeOf(const std::string& route) const {
     const auto found = times_.find(route);
-    const double time = found == times_.end() ? kFirstTime : found->second;
+    const double time = found == times_.end() ? kInitialTime : found->second;
     return fromSeconds(time);
 }
 
 ServiceLoad InstanceDemand::load(TimePoint now, std::uint32_t limit, Duration waiting_work) {
     addBusy(now);
-    const auto first = numberOf(now - knobs_.window);
+    const auto first = spanNumber(now - knobs_.window);
     double work = 0;
     double busy = 0;
     for (const auto& span : spans_) {
@@ -95,14 +95,14 @@
             busy += span.busy;
         }
     }
-    // The window begins with a whole span and ends within the present one.
-    const auto window_began = std::max(began_, TimePoint(spanLength() * first));
-    const double length = std::max(kLeastWindow, toSeconds(now - window_began));
-    const double backlog = toSeconds(waiting_work) / toSeconds(knobs_.catch_up);
+    // The window begins with a complete span and ends within the current one.
+    const auto window_start = std::max(started_, TimePoint(spanLength() * first));
+    const double length = std::max(kMinWindow, toSeconds(now - window_start));
+    const double backlog = toSeconds(waiting_work) / toSeconds(knobs_.backlog_drain_time);
     ServiceLoad load;
     load.demand = work / length;
     load.busy = busy / length;
-    load.capacity = std::max(knobs_.least_share * limit, knobs_.target * limit - backlog);
+    load.capacity = std::max(knobs_.min_share * limit, knobs_.target_utilization * limit - backlog);
     return load;
 }
 
--- a/src/decision/instance_demand.h
+++ b/src/decision/instance_demand.h
@@ -1,6 +1,5 @@
 /// @file
-/// Measures, at a callee, how many slots all requests for its instance would need, those that were
-/// refused upstream included.
+/// Measures how many slots of an instance all requests would need, those that were rejected upstream included.
 #pragma once
 
 #include <array>
@@ -12,66 +11,67 @@
 
 namespace dewcrank::decision {
 
-/// What one instance, or all of a service's, is asked for and can give, in slots.
+/// Load of one instance, or of all instances of a service, in slots.
 struct ServiceLoad {
-    double demand = 0;    ///< That all requests would need, had none been refused upstream.
-    double capacity = 0;  ///< That new requests may use.
-    double busy = 0;      ///< In use, in the mean.
+    double demand = 0;    ///< Slots that all requests would need if none were rejected upstream.
+    double capacity = 0;  ///< Slots that new requests may use.
+    double busy = 0;      ///< Slots in use, mean over the window.
 
     ServiceLoad& operator+=(const ServiceLoad& other);
     ServiceLoad& operator-=(const ServiceLoad& other);
-    /// The share of the requests upstream to admit, from 0 to 1. While slots stand free, other
-    /// bottlenecks hold requests back before they arrive, so nothing is to be refused for this one.
+    /// @return the share of the requests to admit upstream, from 0 to 1. It is 1 while many slots are free: another
+    /// bottleneck then limits the load of this service.
     [[nodiscard]] double level() const;
 };
 
 /// Constants of the measurement.
 struct DemandKnobs {
-    Duration window = 1s;  ///< Of the measurement: some turns of the deepest calls on the sites seen.
-    /// Part of the slots to keep in use: a few waits keep the others from running dry.
-    double target = 0.97;
-    /// What waits is worked off within this time, beside what newly arrives.
-    Duration catch_up = 1s;
-    double least_share = 0.3;  ///< Of its slots that new requests may use, however much waits.
-    double time_weight = 0.1;  ///< Of one answer in the moving average of a route's time in the instance.
+    Duration window = 1s;              ///< Of the measurement.
+    double target_utilization = 0.97;  ///< Share of the slots to keep in use.
+    Duration backlog_drain_time = 1s;  ///< Time within which queued work is to be completed besides new requests.
+    double min_share = 0.3;            ///< Of the slots, left to new requests whatever the length of the queue.
+    double time_weight = 0.1;          ///< Of one response in the moving average of a route's slot time.
 };
 
-/// Each request that arrives stands for as many at entries as were asked for each that was admitted.
-/// Their work, summed, is therefore the demand before admission, whatever levels entries apply at
-/// present: the level follows from it at once, without waiting for the effect of the last one.
+/// Measures an instance's load over a sliding window.
+///
+/// Each request counts with its demand weight: the requests that arrived at entries per admitted one. The sum is the
+/// demand before admission, independent of the ratios that entries apply at present, so the admission ratio follows
+/// from it without a feedback loop.
 class InstanceDemand {
 public:
     explicit InstanceDemand(DemandKnobs knobs) : knobs_(knobs) {}
-    /// A request was let in or queued, or was refused by the last relay that it had.
-    /// @param represents requests at entries that it stands for.
+    /// Counts a request that was admitted or queued, or that was rejected by the last relay it was sent to.
+    /// @param represents   its demand weight.
     void onArrival(TimePoint now, const std::string& route, double represents);
-    /// A request has been answered. @param time that it held a slot for.
+    /// Registers a response. @param time that the request held a slot.
     void onAnswered(const std::string& route, Duration time);
-    /// The number of slots in use has changed to this.
+    /// Registers a change of the number of slots in use to `running`.
     void onRunning(TimePoint now, std::uint32_t running);
-    /// @param limit slots that may be used. @param waiting_work slot time that the queue stands for.
+    /// @param limit          slots that may be used.
+    /// @param waiting_work   slot time that queued requests need.
     [[nodiscard]] ServiceLoad load(TimePoint now, std::uint32_t limit, Duration waiting_work);
-    /// The mean time that a route's requests hold a slot for.
+    /// @return the mean time that a request of the route holds a slot.
     [[nodiscard]] Duration timeOf(const std::string& route) const;
 
 private:
-    static constexpr std::size_t kSpans = 10;  ///< A window consists of so many.
-    /// What was seen in one span; both in seconds of a slot.
+    static constexpr std::size_t kSpans = 10;  ///< Spans of a window.
+    /// Sums over one span of time, in seconds of slot time.
     struct Span {
         std::int64_t number = -1;
         double arrived_work = 0;
         double busy = 0;
     };
     [[nodiscard]] Duration spanLength() const { return knobs_.window / kSpans; }
-    [[nodiscard]] std::int64_t numberOf(TimePoint now) const { return now.time_since_epoch() / spanLength(); }
+    [[nodiscard]] std::int64_t spanNumber(TimePoint now) const { return now.time_since_epoch() / spanLength(); }
     Span& spanAt(TimePoint now);
     void addBusy(TimePoint now);
 
     DemandKnobs knobs_;
-    std::array<Span, kSpans + 1> spans_;   ///< By number, in turn; those of the window and the present one.
-    std::map<std::string, double> times_;  ///< Seconds in the instance, by route.
-    TimePoint began_{};                    ///< Of the measurement; the epoch before the first arrival.
-    TimePoint busy_since_{};               ///< Up to here, `busy` has been counted.
+    std::array<Span, kSpans + 1> spans_;   ///< Ring buffer by number: the window's spans and the current one.
+    std::map<std::string, double> times_;  ///< Mean slot time in seconds, by route.
+    TimePoint started_{};                  ///< First arrival; the epoch before it.
+    TimePoint busy_since_{};               ///< End of the time that `Span::busy` covers.
     std::uint32_t running_ = 0;
 };
 
--- a/src/decision/repeat_budget.h
+++ b/src/decision/repeat_budget.h
@@ -1,5 +1,5 @@
 /// @file
-/// Bounds how many repeated requests an instance is sent, as a share of the first ones.
+/// Retry budget: limits the retries that an instance is sent, as a share of the first attempts.
 #pragma once
 
 #include <cstdint>
@@ -9,68 +9,69 @@
 
 namespace dewcrank::decision {
 
-/// The bound for one service, over any window: repeats <= ratio * first requests + slack.
+/// Limit of one service, over any window: retries <= ratio * first attempts + slack.
 struct RepeatBound {
-    double ratio = 0;
-    double slack = 0;
+    double ratio = 0;  ///< Retries per first attempt.
+    double slack = 0;  ///< Retries per window that need no first attempts.
     Duration window{};
 };
 
-/// What a relay's budget has taken and given, since its start.
+/// Counts of one relay's budget since its start.
 struct RepeatTotals {
-    double requests = 0;        ///< Counted as first ones.
-    double inherited = 0;       ///< Repeats among the calls of runs that were repeats themselves.
-    std::uint64_t granted = 0;  ///< Repeats that were let in,
-    std::uint64_t denied = 0;   ///< and those that were not.
+    double requests = 0;        ///< First attempts.
+    double inherited = 0;       ///< Expected retries among the calls of retried requests.
+    std::uint64_t granted = 0;  ///< Retries that were admitted.
+    std::uint64_t denied = 0;   ///< Retries that were not.
 };
 
-/// The same over the last window, against what is allowed in it.
+/// Counts over the last window.
 struct RepeatWindow {
-    double requests = 0;
-    double repeats = 0;  ///< Inherited and granted.
-    double allowed = 0;  ///< By the relay's part of the bound, without the margin.
+    double requests = 0;  ///< First attempts.
+    double repeats = 0;   ///< Retries, inherited and granted.
+    double allowed = 0;   ///< Retries within the relay's part of the limit, without the safety margin.
 };
 
-/// One relay's part of a service's budget, without messages between relays.
+/// One relay's part of a service's retry budget, kept without messages between relays.
 ///
-/// Invariant: in every span of time up to a window, the relay's repeats stay within the ratio of its requests
-/// of that span and of a short time before it, and its part of the slack. Whichever relays come, go, or
-/// get more or less of the load, in any order and however often, the repeats of all of them in a window
-/// are then allowed by the service's requests in that window and in the short time before it. A bound over
-/// each relay's own last window does not give that: relays whose windows end at different times let in
-/// repeats by the requests of two windows (1.1 of the bound was seen, with a margin of a fifth).
+/// Invariant: in every span of time up to a window, the relay's retries stay within the ratio of its first attempts
+/// in that span and a short time before it, plus its part of the slack. The retries of all relays together then stay
+/// within the service's limit in any window, however often relays restart or load moves between them. A limit per
+/// relay over its own last window does not ensure this: windows of different relays end at different times.
 ///
-/// A new relay does not know what its process spent in an earlier life. So it begins without any of the
-/// slack, and gets it with time.
+/// A relay does not know what it has spent before a restart. It starts without slack and accrues it over time.
 class RepeatBudget {
 public:
-    /// @param born when the relay started.
-    RepeatBudget(RepeatBound bound, TimePoint born);
-    /// A request that is no repeat itself. @param repeat_share how likely it is made for a run that is
-    /// one: to that part it counts as a repeat here as well.
+    /// @param started   when the relay started.
+    RepeatBudget(RepeatBound limit, TimePoint started);
+    /// Counts a first attempt. @param repeat_share probability, from 0 to 1, that it is a call of a retried request;
+    /// to that part it counts as a retry.
     void onFirst(TimePoint now, double repeat_share);
-    /// Takes one repeat. @param relays how many share the slack. @param slack_share part of this relay's part of it
-    /// that may be used, from 0 to 1. @return false if none is left.
+    /// Takes one retry from the budget.
+    /// @param relays        number of relays that share the slack.
+    /// @param slack_share   usable share, from 0 to 1, of this relay's part of the slack.
+    /// @return false if the budget is exhausted.
     bool tryRepeat(TimePoint now, std::size_t relays, double slack_share);
+    /// @return the counts since the start.
     [[nodiscard]] const RepeatTotals& totals() const { return totals_; }
+    /// @return the counts of the window that ends now. @param relays as for `tryRepeat`.
     [[nodiscard]] RepeatWindow window(TimePoint now, std::size_t relays);
 
 private:
-    /// What came in a short interval of the clock.
+    /// Counts of one short interval of the clock.
     struct Step {
         std::int64_t number = 0;
-        double first = 0;
+        double first_attempts = 0;
         double repeats = 0;
     };
-    Step& current(TimePoint now);
-    [[nodiscard]] bool hasRoom(std::size_t relays, double slack_share) const;
-    [[nodiscard]] double slackOver(const Step& begin, std::size_t relays) const;
-    [[nodiscard]] double partOfSlack(std::size_t relays) const;
+    Step& currentStep(TimePoint now);
+    [[nodiscard]] bool hasCapacity(std::size_t relays, double slack_share) const;
+    [[nodiscard]] double slackSince(const Step& begin, std::size_t relays) const;
+    [[nodiscard]] double slackPerRelay(std::size_t relays) const;
 
-    RepeatBound bound_;
+    RepeatBound limit_;
     std::int64_t window_steps_;  ///< At least one.
-    std::int64_t born_in_;       ///< Number of the first step of this life.
-    std::deque<Step> steps_;  ///< Of the last window, in order of time; most of those without a request are left out.
+    std::int64_t start_step_;    ///< Number of the step in which the relay started.
+    std::deque<Step> steps_;     ///< Of the last window, in order of time; steps without a request may be left out.
     RepeatTotals totals_;
 };
 
--- a/src/decision/usual_deadlines.cc
+++ b/src/decision/usual_deadlines.cc
@@ -7,26 +7,26 @@
 namespace {
 
 constexpr Duration kSpan = 10s;
-/// Of the usual time: who gives less gives a shortened one.
-constexpr double kFullShare = 0.97;
+/// A timeout below this share of the usual one counts as shortened.
+constexpr double kMinFullShare = 0.97;
 
 }  // namespace
 
-bool UsualDeadlines::isShortened(TimePoint now, const std::string& route, Duration given) {
+bool UsualDeadlines::isShortened(TimePoint now, const std::string& route, Duration timeout) {
     auto& it = longest_[route];
-    if (now - it.span_began >= kSpan) {
-        it.former = now - it.span_began < 2 * kSpan ? it.present : Duration::zero();
-        it.present = {};
-        it.span_began = now;
+    if (now - it.span_start >= kSpan) {
+        it.previous = now - it.span_start < 2 * kSpan ? it.current : Duration::zero();
+        it.current = {};
+        it.span_start = now;
     }
-    it.present = std::max(it.present, given);
-    const auto usual = std::max(it.present, it.former);
-    return static_cast<double>(given.count()) < kFullShare * static_cast<double>(usual.count());
+    it.current = std::max(it.current, timeout);
+    const auto usual = std::max(it.current, it.previous);
+    return static_cast<double>(timeout.count()) < kMinFullShare * static_cast<double>(usual.count());
 }
 
 Duration UsualDeadlines::usual(const std::string& route) const {
     const auto found = longest_.find(route);
-    return found == longest_.end() ? Duration::zero() : std::max(found->second.present, found->second.former);
+    return found == longest_.end() ? Duration::zero() : std::max(found->second.current, found->second.previous);
 }
 
 }  // namespace dewcrank::decision
--- a/src/decision/usual_deadlines.h
+++ b/src/decision/usual_deadlines.h
@@ -1,5 +1,5 @@
 /// @file
-/// Tells requests whose time was shortened on their way.
+/// Detects requests whose timeout is shorter than the usual one of their route.
 #pragma once
 
 #include <map>
@@ -9,25 +9,23 @@
 
 namespace dewcrank::decision {
 
-/// A caller that asks again under a new id gives the time that it has left, and a call made for
-/// another request ends with that: both are less than their route's usual time, which is the
-/// longest that was given lately.
+/// Tracks the usual timeout of each route: the longest one given recently. A client retry, and a call that is made
+/// for another request, give less, because they pass on the time that is left.
 class UsualDeadlines {
 public:
-    /// Notes a request. @return true if it gives less than is usual on its route.
-    bool isShortened(TimePoint now, const std::string& route, Duration given);
-    /// The usual time of a route; zero if none was given yet.
+    /// Registers a request. @param timeout that it gives. @return true if that is less than is usual on its route.
+    bool isShortened(TimePoint now, const std::string& route, Duration timeout);
+    /// @return the usual timeout of a route; zero before its first request.
     [[nodiscard]] Duration usual(const std::string& route) const;
 
 private:
-    /// The longest deadlines of two spans of time, so that one that is not given any more counts
-    /// for at most both of them.
-    struct Longest {
-        TimePoint span_began{};
-        Duration present{};
-        Duration former{};
+    /// Longest timeouts of two consecutive spans of time, so that an outlier expires after at most both.
+    struct LongestTimeouts {
+        TimePoint span_start{};
+        Duration current{};
+        Duration previous{};
     };
-    std::map<std::string, Longest> longest_;  ///< By route.
+    std::map<std::string, LongestTimeouts> longest_;  ///< By route.
 };
 
 }  // namespace dewcrank::decision
--- a/src/policy/route_table.cc
+++ b/src/policy/route_table.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The fractional part of the golden ratio spreads a sequence as evenly as can be.
+/// Multiples of the golden ratio modulo 1 are spread evenly.
 constexpr double kGoldenFraction = 0.6180339887498949;
 
 std::string lowerCase(std::string_view text) {
@@ -22,8 +22,8 @@
 }  // namespace
 
 std::uint32_t rankOf(const wire::Route& route, const wire::Tenant* tenant) {
-    const auto of_tenant = tenant == nullptr ? 0 : std::min(tenant->priority(), kPriorities - 1);
-    return of_tenant * kPriorities + std::min(route.priority(), kPriorities - 1);
+    const auto tenant_priority = tenant == nullptr ? 0 : std::min(tenant->priority(), kPriorities - 1);
+    return tenant_priority * kPriorities + std::min(route.priority(), kPriorities - 1);
 }
 
 bool RouteTable::adopt(wire::RouteTable table) {
@@ -61,7 +61,7 @@
 }
 
 TenantPtr RouteTable::tenantOf(std::string_view key) const {
-    const auto* holder = tenants_.holderOf(key);
+    const auto* holder = tenants_.findByKey(key);
     return holder == nullptr ? nullptr : TenantPtr(table_, holder);
 }
 
--- a/src/policy/route_table.h
+++ b/src/policy/route_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// The table in force at a sidecar node: routes by host and path, and the services behind them.
+/// The route table of a sidecar node: routes by host and path prefix, their services, and tenants.
 #pragma once
 
 #include <sigc++/sigc++.h>
@@ -17,43 +17,44 @@
 
 namespace dewcrank::policy {
 
-/// A route of one version of the table, which it keeps.
+/// A route of one version of the table; keeps that version alive.
 using RoutePtr = std::shared_ptr<const wire::Route>;
-/// A tenant of one version of the table, which it keeps.
+/// A tenant of one version of the table; keeps that version alive.
 using TenantPtr = std::shared_ptr<const wire::Tenant>;
 
-/// Values that a priority may have: from 0, the most urgent, to one less.
+/// Number of priorities: from 0, the most urgent, to one less than this.
 inline constexpr std::uint32_t kPriorities = 8;
-/// The order in which requests are refused, the greatest rank first: by the priority of their tenant, if they have
-/// one, and among equals by that of their route.
+/// Rank by which requests are rejected, the greatest first: by the priority of the tenant, then by that of the route.
+/// @param tenant   null counts as priority 0.
 std::uint32_t rankOf(const wire::Route& route, const wire::Tenant* tenant);
 
-/// Aggregate: one version of the table, whole. Versions only grow.
+/// Holds one complete version of the table, and indexes it. Adopted versions only increase.
 class RouteTable {
 public:
-    /// @param key_seed unlike that of other processes.
+    /// @param key_seed   of the hash of keys; random per process.
     explicit RouteTable(std::uint64_t key_seed = 0) : tenants_(key_seed) {}
 
-    /// Adopts a table if it is newer. @return true if it was.
+    /// Replaces the table if the given one is newer. @return true if it was.
     bool adopt(wire::RouteTable table);
-    /// The route with the longest prefix of the path at this host; null if there is none.
-    /// @param host as in a Host header: compared without case, and without its port.
+    /// @return the route of the host with the longest matching path prefix; null if there is none.
+    /// @param host   as in a Host header; case and port are ignored.
     [[nodiscard]] RoutePtr match(std::string_view host, std::string_view path) const;
-    /// True if callers have to show a key, but on open routes.
+    /// True if requests need a key, except on open routes.
     [[nodiscard]] bool hasTenants() const { return table_->tenants_size() > 0; }
-    /// The tenant that holds a key; null if none does.
+    /// @return the tenant that owns a key; null if there is none.
     [[nodiscard]] TenantPtr tenantOf(std::string_view key) const;
-    /// A tenant by its name; null if there is none.
+    /// @return the tenant of that name; null if there is none.
     [[nodiscard]] const wire::Tenant* tenantNamed(const std::string& name) const;
-    /// True if a route goes to the service, or a row of its own tells how it is called.
+    /// True if the service has a row of its own, or a route sends requests to it.
     [[nodiscard]] bool namesService(const std::string& service) const;
-    /// A peer holds this version. @return true if it is newer than the one held here.
+    /// Registers the version of a peer's table. @return true if the local table is older than any version seen.
     bool onVersionSeen(std::uint64_t version);
-    /// True while a newer version than the one held here is known to be in force.
+    /// True while a newer version than the local one is known to exist.
     [[nodiscard]] bool isBehind() const { return newest_seen_ > version(); }
-    /// The newest version that is known of, here or at a peer.
+    /// @return the newest known version, local or at a peer.
     [[nodiscard]] std::uint64_t newestSeen() const { return std::max(newest_seen_, version()); }
     [[nodiscard]] std::uint64_t version() const { return table_->version(); }
+    /// True once a table was adopted.
     [[nodiscard]] bool isKnown() const { return table_->version() > 0; }
     [[nodiscard]] const wire::RouteTable& whole() const { return *table_; }
 
@@ -62,7 +63,7 @@
 
 private:
     std::shared_ptr<const wire::RouteTable> table_ = std::make_shared<const wire::RouteTable>();
-    /// By host in lower case; prefixes from the longest to the shortest.
+    /// By host in lower case; longest prefix first.
     std::map<std::string, std::vector<const wire::Route*>, std::less<>> by_host_;
     TenantIndex tenants_;  ///< Of table_.
     std::map<std::string, const wire::Tenant*, std::less<>> tenants_by_name_;
@@ -70,12 +71,13 @@
     sigc::signal<void()> signal_adopted_;
 };
 
-/// Divides a route's requests among its parts, exactly in the long run and closely in the
-/// short: a low-discrepancy (golden ratio) sequence with a random start at each node.
+/// Splits the requests of a route among its parts by weight. Uses a low-discrepancy (golden ratio) sequence, so that
+/// the weights hold closely over few requests too.
 class TrafficDivider {
 public:
+    /// @param start   random in [0, 1), so that nodes do not choose in lockstep.
     explicit TrafficDivider(double start) : position_(start) {}
-    /// Index of the part that the next request goes to.
+    /// @return index of the part that the next request is sent to.
     std::size_t next(const wire::Route& route);
 
 private:
--- a/src/policy/table_columns.cc
+++ b/src/policy/table_columns.cc
@@ -12,29 +12,29 @@
 
 namespace {
 
-constexpr std::uint32_t kLongestMs = 600'000;
-constexpr std::uint32_t kMostBytes = 1U << 30U;
-constexpr std::uint32_t kMostAttempts = 10;
-constexpr std::uint32_t kLeastUrgent = kPriorities - 1;
-constexpr std::uint32_t kMostConnections = 100'000;
-constexpr std::uint32_t kMostWeight = 10'000;
-constexpr double kMostTokens = 1e9;
-
-/// Reads a whole number; nothing if the text is none or it is out of the limits.
-std::optional<std::uint32_t> numberIn(std::string_view text, std::uint32_t least, std::uint32_t most) {
+constexpr std::uint32_t kMaxMs = 600'000;
+constexpr std::uint32_t kMaxBytes = 1U << 30U;
+constexpr std::uint32_t kMaxAttempts = 10;
+constexpr std::uint32_t kLowestPriority = kPriorities - 1;
+constexpr std::uint32_t kMaxConnections = 100'000;
+constexpr std::uint32_t kMaxWeight = 10'000;
+constexpr double kMaxTokens = 1e9;
+
+/// Parses an integer; returns nothing if the text is none or its value is out of range.
+std::optional<std::uint32_t> parseNumber(std::string_view text, std::uint32_t min, std::uint32_t max) {
     std::uint32_t number = 0;
     const auto result = std::from_chars(text.data(), text.data() + text.size(), number);
     const bool is_number = result.ec == std::errc() && result.ptr == text.data() + text.size();
-    return is_number && number >= least && number <= most ? std::optional(number) : std::nullopt;
+    return is_number && number >= min && number <= max ? std::optional(number) : std::nullopt;
 }
 
 template <typename Message>
-Column<Message> numberColumn(const char* name, std::uint32_t least, std::uint32_t most, const char* meaning,
+Column<Message> numberColumn(const char* name, std::uint32_t min, std::uint32_t max, const char* meaning,
                              std::uint32_t (Message::*get)() const, void (Message::*set)(std::uint32_t)) {
-    return {name, "a whole number from " + std::to_string(least) + " to " + std::to_string(most), meaning,
+    return {name, "a whole number from " + std::to_string(min) + " to " + std::to_string(max), meaning,
             [get](const Message& message) { return std::to_string((message.*get)()); },
             [=](Message* message, const std::string& value) {
-                const auto number = numberIn(value, least, most);
+                const auto number = parseNumber(value, min, max);
                 if (number) {
                     (message->*set)(*number);
                 }
@@ -42,7 +42,7 @@
             }};
 }
 
-bool isPrefixOfPaths(const std::string& text) {
+bool isPathPrefix(const std::string& text) {
     return !text.empty() && text.front() == '/' && text.back() == '/';
 }
 
@@ -50,7 +50,7 @@
     return !text.empty() && text.find_first_of(" \t/:") == std::string::npos;
 }
 
-std::string partsText(const wire::Route& route) {
+std::string formatParts(const wire::Route& route) {
     if (route.parts_size() == 1) {
         return route.parts(0).service();
     }
@@ -61,18 +61,18 @@
     return text;
 }
 
-/// "desk", or "desk:90 browse:10".
-bool setParts(wire::Route* route, const std::string& value) {
-    wire::Route read;
+/// Parses a service, or services with weights: "desk" or "desk:90 browse:10".
+bool parseParts(wire::Route* route, const std::string& value) {
+    wire::Route parsed;
     std::istringstream words(value);
     std::string word;
     while (words >> word) {
         const auto colon = word.find(':');
-        auto* part = read.add_parts();
+        auto* part = parsed.add_parts();
         part->set_service(word.substr(0, colon));
         part->set_weight(1);
         if (colon != std::string::npos) {
-            const auto weight = numberIn(std::string_view(word).substr(colon + 1), 0, kMostWeight);
+            const auto weight = parseNumber(std::string_view(word).substr(colon + 1), 0, kMaxWeight);
             if (!weight) {
                 return false;
             }
@@ -82,15 +82,15 @@
             return false;
         }
     }
-    const auto& parts = read.parts();
+    const auto& parts = parsed.parts();
     if (std::none_of(parts.begin(), parts.end(), [](const auto& part) { return part.weight() > 0; })) {
         return false;
     }
-    route->mutable_parts()->Swap(read.mutable_parts());
+    route->mutable_parts()->Swap(parsed.mutable_parts());
     return true;
 }
 
-std::string decimalText(double number) {
+std::string formatNumber(double number) {
     std::ostringstream text;
     text << number;
     return text.str();
@@ -98,14 +98,14 @@
 
 Column<wire::Tenant> tokensColumn(const char* name, const char* meaning, double (wire::Tenant::*get)() const,
                                   void (wire::Tenant::*set)(double)) {
-    return {name, "a number from 0 to " + decimalText(kMostTokens), meaning,
-            [get](const wire::Tenant& it) { return decimalText((it.*get)()); },
+    return {name, "a number from 0 to " + formatNumber(kMaxTokens), meaning,
+            [get](const wire::Tenant& it) { return formatNumber((it.*get)()); },
             [set](wire::Tenant* it, const std::string& value) {
                 double number = 0;
                 const auto end = value.data() + value.size();
                 const auto result = std::from_chars(value.data(), end, number);
                 const bool is_allowed =
-                    result.ec == std::errc() && result.ptr == end && number >= 0 && number <= kMostTokens;
+                    result.ec == std::errc() && result.ptr == end && number >= 0 && number <= kMaxTokens;
                 if (is_allowed) {
                     (it->*set)(number);
                 }
@@ -113,7 +113,7 @@
             }};
 }
 
-std::string keysText(const wire::Tenant& tenant) {
+std::string formatKeys(const wire::Tenant& tenant) {
     std::string text;
     for (const auto& key : tenant.keys()) {
         text += (text.empty() ? "" : " ") + keyFingerprint(key);
@@ -121,14 +121,14 @@
     return text;
 }
 
-/// The keys that are to be: new ones as they are, present ones by their fingerprints.
-bool setKeys(wire::Tenant* tenant, const std::string& value) {
-    wire::Tenant read;
+/// Replaces the keys. New keys are given in full, existing ones by their fingerprints.
+bool parseKeys(wire::Tenant* tenant, const std::string& value) {
+    wire::Tenant parsed;
     std::istringstream words(value);
     std::string word;
     while (words >> word) {
-        if (word.front() != kFingerprintMark) {
-            read.add_keys(word);
+        if (word.front() != kFingerprintPrefix) {
+            parsed.add_keys(word);
             continue;
         }
         const auto& present = tenant->keys();
@@ -137,9 +137,9 @@
         if (known == present.end()) {
             return false;
         }
-        read.add_keys(*known);
+        parsed.add_keys(*known);
     }
-    tenant->mutable_keys()->Swap(read.mutable_keys());
+    tenant->mutable_keys()->Swap(parsed.mutable_keys());
     return true;
 }
 
@@ -153,33 +153,36 @@
              it->set_host(value);
              return isHost(value);
          }},
-        {"prefix", "a path that begins and ends with a slash", "begin of the requests' path",
+        {"prefix", "a path that begins and ends with a slash", "path prefix of the requests",
          [](const Route& it) { return it.prefix(); },
          [](Route* it, const std::string& value) {
              it->set_prefix(value);
-             return isPrefixOfPaths(value);
+             return isPathPrefix(value);
          }},
-        {"services", "a service, or services with weights: 'desk:90 browse:10'", "where the requests go", partsText,
-         setParts},
-        {"repeatable", "true or false", "false: a request is sent to an instance once",
+        {"services", "a service, or services with weights: 'desk:90 browse:10'", "services that handle the requests",
+         formatParts, parseParts},
+        {"repeatable", "true or false",
+         "true: requests are idempotent and may be retried; false: each is sent to one instance once",
          [](const Route& it) { return std::string(it.is_repeatable() ? "true" : "false"); },
          [](Route* it, const std::string& value) {
              it->set_is_repeatable(value == "true");
              return value == "true" || value == "false";
          }},
-        numberColumn<Route>("priority", 0, kLeastUrgent, "0 is refused last", &Route::priority, &Route::set_priority),
-        numberColumn<Route>("attempts", 1, kMostAttempts, "instances that a request may be sent to",
+        numberColumn<Route>("priority", 0, kLowestPriority, "0 is refused last", &Route::priority,
+                            &Route::set_priority),
+        numberColumn<Route>("attempts", 1, kMaxAttempts, "maximum number of instances that a request is sent to",
                             &Route::max_attempts, &Route::set_max_attempts),
-        numberColumn<Route>("timeout_ms", 1, kLongestMs, "milliseconds that a request is held at most",
-                            &Route::timeout_ms, &Route::set_timeout_ms),
-        {"open", "true or false", "true: takes requests without a key where the table has tenants",
+        numberColumn<Route>("timeout_ms", 1, kMaxMs, "milliseconds until a request times out", &Route::timeout_ms,
+                            &Route::set_timeout_ms),
+        {"open", "true or false", "true: requests need no key, also where the table has tenants",
          [](const Route& it) { return std::string(it.is_open() ? "true" : "false"); },
          [](Route* it, const std::string& value) {
              it->set_is_open(value == "true");
              return value == "true" || value == "false";
          }},
-        numberColumn<Route>("objective_ms", 1, kLongestMs, "milliseconds within which an answer is in time",
-                            &Route::objective_ms, &Route::set_objective_ms),
+        numberColumn<Route>("objective_ms", 1, kMaxMs,
+                            "milliseconds within which a response meets the latency objective", &Route::objective_ms,
+                            &Route::set_objective_ms),
     };
     return columns;
 }
@@ -187,13 +190,14 @@
 const std::vector<Column<wire::ServiceEntry>>& serviceColumns() {
     using wire::ServiceEntry;
     static const std::vector<Column<ServiceEntry>> columns = {
-        {"health_path", "a path that begins with a slash", "GET there answers 200 at a sound instance",
+        {"health_path", "a path that begins with a slash",
+         "path of the health check; a healthy instance responds with 200 to GET",
          [](const ServiceEntry& it) { return it.health_path(); },
          [](ServiceEntry* it, const std::string& value) {
              it->set_health_path(value);
              return value.starts_with('/');
          }},
-        numberColumn<ServiceEntry>("connections", 1, kMostConnections, "connections that an instance takes",
+        numberColumn<ServiceEntry>("connections", 1, kMaxConnections, "maximum number of connections to an instance",
                                    &ServiceEntry::max_connections, &ServiceEntry::set_max_connections),
     };
     return columns;
@@ -202,19 +206,19 @@
 const std::vector<Column<wire::Tenant>>& tenantColumns() {
     using wire::Tenant;
     static const std::vector<Column<Tenant>> columns = {
-        {"keys", "new keys, and present ones by their #fingerprints, parted by blanks",
-         "whoever shows one of them is this tenant; shown by fingerprint only", keysText, setKeys, true},
-        {"priority", "a whole number from 0 to " + std::to_string(kLeastUrgent) + ", or -",
+        {"keys", "new keys, and existing ones by their #fingerprints, separated by spaces",
+         "API keys of this tenant; displayed as fingerprints only", formatKeys, parseKeys, true},
+        {"priority", "a whole number from 0 to " + std::to_string(kLowestPriority) + ", or -",
          "of its requests, in place of their routes'; -: their routes'",
          [](const Tenant& it) { return it.has_priority() ? std::to_string(it.priority()) : std::string("-"); },
          [](Tenant* it, const std::string& value) {
-             const auto number = numberIn(value, 0, kLeastUrgent);
+             const auto number = parseNumber(value, 0, kLowestPriority);
              number ? it->set_priority(*number) : it->clear_priority();
              return number.has_value() || value == "-";
          }},
         tokensColumn("rate_per_s", "requests a second over all nodes; 0: no limit", &Tenant::rate_per_s,
                      &Tenant::set_rate_per_s),
-        tokensColumn("burst", "requests on top of the rate, at once", &Tenant::burst, &Tenant::set_burst),
+        tokensColumn("burst", "requests that may exceed the rate at once", &Tenant::burst, &Tenant::set_burst),
     };
     return columns;
 }
@@ -222,13 +226,14 @@
 const std::vector<Column<wire::CallerLimits>>& limitColumns() {
     using Limits = wire::CallerLimits;
     static const std::vector<Column<Limits>> columns = {
-        numberColumn<Limits>("header_bytes", 1, kMostBytes, "bytes of a request's head", &Limits::header_bytes,
-                             &Limits::set_header_bytes),
-        numberColumn<Limits>("body_bytes", 1, kMostBytes, "bytes of a request's body", &Limits::body_bytes,
+        numberColumn<Limits>("header_bytes", 1, kMaxBytes, "maximum bytes of a request's header section",
+                             &Limits::header_bytes, &Limits::set_header_bytes),
+        numberColumn<Limits>("body_bytes", 1, kMaxBytes, "maximum bytes of a request's body", &Limits::body_bytes,
                              &Limits::set_body_bytes),
-        numberColumn<Limits>("header_timeout_ms", 1, kLongestMs, "milliseconds that a head may take",
-                             &Limits::header_timeout_ms, &Limits::set_header_timeout_ms),
-        numberColumn<Limits>("idle_timeout_ms", 1, kLongestMs, "milliseconds that a connection may rest",
+        numberColumn<Limits>("header_timeout_ms", 1, kMaxMs,
+                             "milliseconds until an incomplete header section times out", &Limits::header_timeout_ms,
+                             &Limits::set_header_timeout_ms),
+        numberColumn<Limits>("idle_timeout_ms", 1, kMaxMs, "milliseconds until an idle connection is closed",
                              &Limits::idle_timeout_ms, &Limits::set_idle_timeout_ms),
     };
     return columns;
--- a/src/policy/table_columns.h
+++ b/src/policy/table_columns.h
@@ -1,5 +1,5 @@
 /// @file
-/// The columns of each type of row: how a cell is read, checked and shown.
+/// Columns of each type of row: how a cell is parsed, checked and formatted.
 #pragma once
 
 #include <functional>
@@ -10,15 +10,15 @@
 
 namespace dewcrank::policy {
 
-/// One column of the rows that a message holds.
+/// One column of the rows that are stored as messages of this type.
 template <typename Message>
 struct Column {
     const char* name;
-    std::string allowed;
-    const char* meaning;
+    std::string allowed;  ///< Describes the allowed values, for error messages.
+    const char* meaning;  ///< Describes the column, with its unit.
     std::function<std::string(const Message&)> get;
-    std::function<bool(Message*, const std::string&)> set;  ///< False: the value is not allowed.
-    bool is_secret = false;                                 ///< Errors do not repeat the value.
+    std::function<bool(Message*, const std::string&)> set;  ///< Returns false if the value is not allowed.
+    bool is_secret = false;                                 ///< Error messages do not contain the value.
 };
 
 const std::vector<Column<wire::Route>>& routeColumns();
--- a/src/policy/table_lease.cc
+++ b/src/policy/table_lease.cc
@@ -8,9 +8,9 @@
     confirmed_ = std::max(confirmed_.value_or(sent), sent);
 }
 
-void TableLease::onPeer(TimePoint asked, Duration age, std::uint64_t theirs, std::uint64_t mine) {
-    if (mine >= theirs && age >= Duration::zero()) {
-        onRead(asked - age);
+void TableLease::onPeer(TimePoint sent, Duration age, std::uint64_t peer_version, std::uint64_t own_version) {
+    if (own_version >= peer_version && age >= Duration::zero()) {
+        onRead(sent - age);
     }
 }
 
@@ -23,8 +23,8 @@
         return true;
     }
     const auto known = age(now);
-    const auto most = std::chrono::duration_cast<Duration>(knobs_.revocation * (1 - knobs_.margin_share));
-    return known && *known < most;
+    const auto max_age = std::chrono::duration_cast<Duration>(knobs_.revocation * (1 - knobs_.margin_share));
+    return known && *known < max_age;
 }
 
 }  // namespace dewcrank::policy
--- a/src/policy/table_lease.h
+++ b/src/policy/table_lease.h
@@ -1,6 +1,6 @@
 /// @file
-/// For how long the table held here may be taken for the newest. Whoever cannot show that lets nobody in by a key:
-/// it may have been revoked meanwhile.
+/// Limits how long a node accepts API keys without confirmation that its table is the newest: a key may have been
+/// revoked meanwhile.
 #pragma once
 
 #include <cstdint>
@@ -13,40 +13,41 @@
 
 /// Constants of the lease.
 struct TableLeaseKnobs {
-    /// A key that the store's table no longer holds runs nothing later than this after its revocation; zero: keys
-    /// are not bound to a lease.
-    Duration revocation{};
-    /// Of `revocation`, kept for clocks that run at different rates and for the way from the check to the instance.
-    double margin_share = 0.04;
-    Weakening weakening;  ///< Tests only.
+    Duration revocation{};       ///< Longest time that a revoked key is still accepted; zero: no lease is required.
+    double margin_share = 0.04;  ///< Of `revocation`, for clock drift and for the time from check to instance.
+    Weakening weakening;         ///< Tests only.
 };
 
-/// Invariant: the table held here contains every version that the store had acknowledged by `confirmed`.
+/// Invariant: the local table contains every version that the store had acknowledged by `confirmed_`.
 ///
-/// A read of the store confirms the moment at which it was sent: what is acknowledged while it is under way may be
-/// missing from its answer. A peer tells how long ago its own table was confirmed. Its answer was written after the
-/// question to it had been sent, so that the age counts back from there: however long question and answer were
-/// under way, the moment worked out is never too late. What a peer tells without having been asked confirms nothing:
-/// a cut may have held it up for any time. Neither does a watch that waits: it says that it has heard nothing.
+/// - A read of the store confirms the time at which it was sent: its response may lack later versions.
+/// - A peer responds with the age of its own confirmation. The age counts back from the time at which the request
+///   was sent, so that delays in the network never make the confirmation too recent.
+/// - Unrequested messages of peers confirm nothing, since a partition may have delayed them, nor does a watch of the
+///   store that waits.
 class TableLease {
 public:
     explicit TableLease(TableLeaseKnobs knobs) : knobs_(knobs) {}
 
-    /// The store has answered a linearizable read, and the table held here is at least the one that it gave.
+    /// Registers a response to a linearizable read of the store whose table, or a newer one, is the local one.
+    /// @param sent   when the read was sent.
     void onRead(TimePoint sent);
-    /// A peer has answered a question. @param age of its own confirmation when it answered. @param theirs the version
-    /// that it holds. @param mine the version held here: an older one is not confirmed by it.
-    void onPeer(TimePoint asked, Duration age, std::uint64_t theirs, std::uint64_t mine);
-    /// How long ago the table was known to be the newest; nothing if it never was.
+    /// Registers a peer's response.
+    /// @param sent           when the request to the peer was sent.
+    /// @param age            of the peer's confirmation at its response.
+    /// @param peer_version   of the peer's table.
+    /// @param own_version    of the local table; an older one is not confirmed.
+    void onPeer(TimePoint sent, Duration age, std::uint64_t peer_version, std::uint64_t own_version);
+    /// @return the time since the last confirmation; nothing if there was none.
     [[nodiscard]] std::optional<Duration> age(TimePoint now) const;
-    /// True if keys are to be checked against a lease at all.
+    /// True if keys are accepted only under a valid lease.
     [[nodiscard]] bool isRequired() const { return knobs_.revocation > Duration::zero(); }
-    /// True while requests may be let in by their keys.
+    /// True while requests may be admitted by their keys.
     [[nodiscard]] bool isValid(TimePoint now) const;
 
 private:
     TableLeaseKnobs knobs_;
-    std::optional<TimePoint> confirmed_;  ///< Only grows.
+    std::optional<TimePoint> confirmed_;  ///< Never decreases.
 };
 
 }  // namespace dewcrank::policy
--- a/src/policy/table_rows.cc
+++ b/src/policy/table_rows.cc
@@ -14,18 +14,18 @@
 constexpr const char* kService = "service";
 constexpr const char* kTenant = "tenant";
 constexpr const char* kLimits = "limits";
-constexpr const char* kOnlyLimits = "limits/callers";
+constexpr const char* kLimitsRow = "limits/callers";
 
-std::string cellPlace(const std::string& row, const std::string& column) {
+std::string cellName(const std::string& row, const std::string& column) {
     return row + "." + column;
 }
 
-std::string gotAndAllowed(const std::string& value, const std::string& allowed) {
+std::string describeMismatch(const std::string& value, const std::string& allowed) {
     return "got '" + value + "', allowed: " + allowed;
 }
 
 template <typename Message>
-std::vector<ColumnInfo> infosOf(const std::vector<Column<Message>>& columns) {
+std::vector<ColumnInfo> describeColumns(const std::vector<Column<Message>>& columns) {
     std::vector<ColumnInfo> infos;
     infos.reserve(columns.size());
     for (const auto& column : columns) {
@@ -44,37 +44,37 @@
 }
 
 template <typename Message>
-Result<void> setIn(Message* message, const std::vector<Column<Message>>& columns, const std::string& row,
-                   const std::string& column, const std::string& value) {
+Result<void> setColumn(Message* message, const std::vector<Column<Message>>& columns, const std::string& row,
+                       const std::string& column, const std::string& value) {
     const auto found =
         std::find_if(columns.begin(), columns.end(), [&](const auto& candidate) { return column == candidate.name; });
     if (found == columns.end()) {
-        return stepError(kStep, cellPlace(row, column), "there is no such column");
+        return stepError(kStep, cellName(row, column), "there is no such column");
     }
     Message changed = *message;
     if (!found->set(&changed, value)) {
-        const auto shown = found->is_secret ? "a value that is not shown" : value;
-        return stepError(kStep, cellPlace(row, column), gotAndAllowed(shown, found->allowed));
+        const auto shown = found->is_secret ? "(redacted)" : value;
+        return stepError(kStep, cellName(row, column), describeMismatch(shown, found->allowed));
     }
     *message = changed;
     return {};
 }
 
-std::string nameIn(const std::string& row) {
+std::string rowName(const std::string& row) {
     const auto slash = row.find('/');
     return slash == std::string::npos ? "" : row.substr(slash + 1);
 }
 
-/// The message of a name in a repeated field; null if there is none.
+/// @return the message of that name in a repeated field; null if there is none.
 template <typename Messages>
-auto* findIn(Messages* messages, const std::string& name) {
+auto* findByName(Messages* messages, const std::string& name) {
     const auto found =
         std::find_if(messages->begin(), messages->end(), [&](const auto& message) { return message.name() == name; });
     return found == messages->end() ? nullptr : &*found;
 }
 
 template <typename Messages>
-bool removeIn(Messages* messages, const std::string& name) {
+bool removeByName(Messages* messages, const std::string& name) {
     const auto found =
         std::find_if(messages->begin(), messages->end(), [&](const auto& message) { return message.name() == name; });
     if (found == messages->end()) {
@@ -88,7 +88,7 @@
     return stepError(kStep, row, "there is no such row");
 }
 
-bool goesTo(const wire::Route& route, const std::string& service) {
+bool routesTo(const wire::Route& route, const std::string& service) {
     return std::any_of(route.parts().begin(), route.parts().end(),
                        [&](const auto& part) { return part.service() == service; });
 }
@@ -102,15 +102,15 @@
 
 std::vector<ColumnInfo> columnsOf(std::string_view type) {
     if (type == kRoute) {
-        return infosOf(routeColumns());
+        return describeColumns(routeColumns());
     }
     if (type == kService) {
-        return infosOf(serviceColumns());
+        return describeColumns(serviceColumns());
     }
     if (type == kTenant) {
-        return infosOf(tenantColumns());
+        return describeColumns(tenantColumns());
     }
-    return type == kLimits ? infosOf(limitColumns()) : std::vector<ColumnInfo>();
+    return type == kLimits ? describeColumns(limitColumns()) : std::vector<ColumnInfo>();
 }
 
 std::string_view rowTypeOf(std::string_view row) {
@@ -128,45 +128,45 @@
     for (const auto& tenant : table.tenants()) {
         rows[std::string(kTenant) + "/" + tenant.name()] = cellsOf(tenant, tenantColumns());
     }
-    rows[kOnlyLimits] = cellsOf(table.limits(), limitColumns());
+    rows[kLimitsRow] = cellsOf(table.limits(), limitColumns());
     return rows;
 }
 
 Result<void> setCell(wire::RouteTable* table, const std::string& row, const std::string& column,
                      const std::string& value) {
-    const auto name = nameIn(row);
-    if (row == kOnlyLimits) {
-        return setIn(table->mutable_limits(), limitColumns(), row, column, value);
+    const auto name = rowName(row);
+    if (row == kLimitsRow) {
+        return setColumn(table->mutable_limits(), limitColumns(), row, column, value);
     }
     if (rowTypeOf(row) == kRoute) {
-        auto* route = findIn(table->mutable_routes(), name);
-        return route == nullptr ? noSuchRow(row) : setIn(route, routeColumns(), row, column, value);
+        auto* route = findByName(table->mutable_routes(), name);
+        return route == nullptr ? noSuchRow(row) : setColumn(route, routeColumns(), row, column, value);
     }
     if (rowTypeOf(row) == kService) {
-        auto* service = findIn(table->mutable_services(), name);
-        return service == nullptr ? noSuchRow(row) : setIn(service, serviceColumns(), row, column, value);
+        auto* service = findByName(table->mutable_services(), name);
+        return service == nullptr ? noSuchRow(row) : setColumn(service, serviceColumns(), row, column, value);
     }
     if (rowTypeOf(row) == kTenant) {
-        auto* tenant = findIn(table->mutable_tenants(), name);
-        return tenant == nullptr ? noSuchRow(row) : setIn(tenant, tenantColumns(), row, column, value);
+        auto* tenant = findByName(table->mutable_tenants(), name);
+        return tenant == nullptr ? noSuchRow(row) : setColumn(tenant, tenantColumns(), row, column, value);
     }
     return noSuchRow(row);
 }
 
 Result<void> putRow(wire::RouteTable* table, const std::string& row, const RowCells& cells) {
     const auto type = rowTypeOf(row);
-    const auto name = nameIn(row);
+    const auto name = rowName(row);
     const bool is_known_type = type == kRoute || type == kService || type == kTenant;
-    if (row != kOnlyLimits && (!is_known_type || name.empty())) {
+    if (row != kLimitsRow && (!is_known_type || name.empty())) {
         return stepError(kStep, row, "rows are route/NAME, service/NAME, tenant/NAME and limits/callers");
     }
-    if (type == kRoute && findIn(table->mutable_routes(), name) == nullptr) {
+    if (type == kRoute && findByName(table->mutable_routes(), name) == nullptr) {
         auto* route = table->add_routes();
         route->set_name(name);
         route->set_max_attempts(1);
-    } else if (type == kService && findIn(table->mutable_services(), name) == nullptr) {
+    } else if (type == kService && findByName(table->mutable_services(), name) == nullptr) {
         table->add_services()->set_name(name);
-    } else if (type == kTenant && findIn(table->mutable_tenants(), name) == nullptr) {
+    } else if (type == kTenant && findByName(table->mutable_tenants(), name) == nullptr) {
         table->add_tenants()->set_name(name);
     }
     for (const auto& [column, value] : cells) {
@@ -176,28 +176,28 @@
 }
 
 Result<void> removeRow(wire::RouteTable* table, const std::string& row) {
-    const auto name = nameIn(row);
-    if (rowTypeOf(row) == kRoute && removeIn(table->mutable_routes(), name)) {
+    const auto name = rowName(row);
+    if (rowTypeOf(row) == kRoute && removeByName(table->mutable_routes(), name)) {
         return {};
     }
-    if (rowTypeOf(row) == kTenant && removeIn(table->mutable_tenants(), name)) {
+    if (rowTypeOf(row) == kTenant && removeByName(table->mutable_tenants(), name)) {
         return {};
     }
-    if (rowTypeOf(row) != kService || findIn(table->mutable_services(), name) == nullptr) {
+    if (rowTypeOf(row) != kService || findByName(table->mutable_services(), name) == nullptr) {
         return noSuchRow(row);
     }
     for (const auto& route : table->routes()) {
-        if (goesTo(route, name)) {
+        if (routesTo(route, name)) {
             return stepError(kStep, row, "route/" + route.name() + " goes to it");
         }
     }
-    removeIn(table->mutable_services(), name);
+    removeByName(table->mutable_services(), name);
     return {};
 }
 
 namespace {
 
-/// A key tells which tenant calls, so it belongs to one.
+/// Each key identifies one tenant.
 Result<void> checkTenants(const wire::RouteTable& table) {
     std::map<std::string_view, std::string_view> owners;
     for (const auto& tenant : table.tenants()) {
@@ -206,7 +206,7 @@
             const auto [found, is_new] = owners.emplace(key, tenant.name());
             if (!is_new) {
                 return stepError(
-                    kStep, cellPlace(row, "keys"),
+                    kStep, cellName(row, "keys"),
                     keyFingerprint(key) + " is a key of tenant/" + std::string(found->second) + " already");
             }
         }
@@ -224,14 +224,14 @@
             auto copy = route;
             const auto value = column.get(route);
             if (!column.set(&copy, value)) {
-                return stepError(kStep, cellPlace(row, column.name), gotAndAllowed(value, column.allowed));
+                return stepError(kStep, cellName(row, column.name), describeMismatch(value, column.allowed));
             }
         }
         for (const auto& part : route.parts()) {
             const auto& services = table.services();
             if (std::none_of(services.begin(), services.end(),
                              [&](const auto& service) { return service.name() == part.service(); })) {
-                return stepError(kStep, cellPlace(row, "services"), "there is no service/" + part.service());
+                return stepError(kStep, cellName(row, "services"), "there is no service/" + part.service());
             }
         }
     }
--- a/src/policy/table_rows.h
+++ b/src/policy/table_rows.h
@@ -1,7 +1,7 @@
 /// @file
-/// The table as operators see it: rows and columns of text, with what each cell may hold.
+/// The route table as rows and columns of text, for operators.
 ///
-/// Rows are `route/NAME` (a kind of request), `service/NAME` and `limits/callers`.
+/// Rows are `route/NAME`, `service/NAME`, `tenant/NAME` and `limits/callers`.
 #pragma once
 
 #include <map>
@@ -14,33 +14,33 @@
 
 namespace dewcrank::policy {
 
-/// One column, for people.
+/// Description of one column.
 struct ColumnInfo {
     std::string name;
-    std::string allowed;  ///< What a cell may hold.
+    std::string allowed;  ///< Values that a cell may hold.
     std::string meaning;  ///< With its unit.
 };
 
 /// Cells of one row, by column.
 using RowCells = std::map<std::string, std::string>;
 
-/// Types of rows, in the order in which they are shown: "route", "service", "limits".
+/// @return the types of rows in display order: "route", "service", "tenant", "limits".
 const std::vector<std::string>& rowTypes();
-/// The columns of a type, in the order in which they are shown; empty for an unknown type.
+/// @return the columns of a type in display order; empty for an unknown type.
 std::vector<ColumnInfo> columnsOf(std::string_view type);
-/// The type of a row's name: what stands before the slash.
+/// @return the type of a row: its name up to the slash.
 std::string_view rowTypeOf(std::string_view row);
 
-/// All rows of a table.
+/// @return all rows of a table, by name.
 std::map<std::string, RowCells> rowsOf(const wire::RouteTable& table);
-/// Sets one cell. The error names row and column, what was given and what is allowed.
+/// Sets one cell. The error names the row, the column, the given value and the allowed ones.
 Result<void> setCell(wire::RouteTable* table, const std::string& row, const std::string& column,
                      const std::string& value);
-/// Adds a row with the cells given, or replaces those cells of the one that is there.
+/// Adds a row with the given cells, or sets these cells of an existing row.
 Result<void> putRow(wire::RouteTable* table, const std::string& row, const RowCells& cells);
-/// Takes a row out. A service that a route goes to stays: that is an error.
+/// Removes a row. It is an error if there is no such row, or if a route sends requests to the service.
 Result<void> removeRow(wire::RouteTable* table, const std::string& row);
-/// Checks what no cell alone shows: every route has a host, a path and services that are there.
+/// Checks the whole table: each route has valid cells and existing services, and each key has one tenant.
 Result<void> checkTable(const wire::RouteTable& table);
 
 }  // namespace dewcrank::policy
--- a/src/policy/tenant_index.cc
+++ b/src/policy/tenant_index.cc
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t kFingerprintBits = 0xffffffffU;
 
-bool isSameKey(std::string_view left, std::string_view right) {
+bool constantTimeEquals(std::string_view left, std::string_view right) {
     if (left.size() != right.size()) {
         return false;
     }
@@ -27,7 +27,7 @@
     char text[16];
     std::snprintf(text, sizeof text, "%08llx",
                   static_cast<unsigned long long>(XXH3_64bits(key.data(), key.size()) & kFingerprintBits));
-    return kFingerprintMark + std::string(text);
+    return kFingerprintPrefix + std::string(text);
 }
 
 std::uint64_t TenantIndex::hashOf(std::string_view key) const {
@@ -43,11 +43,11 @@
     }
 }
 
-const wire::Tenant* TenantIndex::holderOf(std::string_view key) const {
+const wire::Tenant* TenantIndex::findByKey(std::string_view key) const {
     const auto [begin, end] = by_hash_.equal_range(hashOf(key));
     const wire::Tenant* holder = nullptr;
     for (auto it = begin; it != end; ++it) {
-        holder = isSameKey(it->second.key, key) ? it->second.tenant : holder;
+        holder = constantTimeEquals(it->second.key, key) ? it->second.tenant : holder;
     }
     return holder;
 }
--- a/src/policy/tenant_index.h
+++ b/src/policy/tenant_index.h
@@ -1,5 +1,5 @@
 /// @file
-/// Who calls: the tenants of a table by their keys.
+/// Finds the tenant of a request by its API key.
 #pragma once
 
 #include <cstdint>
@@ -11,21 +11,21 @@
 
 namespace dewcrank::policy {
 
-/// Before a fingerprint, so that it is not taken for a key.
-inline constexpr char kFingerprintMark = '#';
+/// First character of a fingerprint, which distinguishes it from a key.
+inline constexpr char kFingerprintPrefix = '#';
 
-/// Tells keys apart where people read: the mark and 32 bits, from which a key of full length cannot be had back.
+/// @return a label for a key in logs and tables: the prefix and a hash of 32 bits, which does not reveal the key.
 std::string keyFingerprint(std::string_view key);
 
-/// Keys are found by a hash that is seeded in each process, and then compared whole in a time that does not depend
-/// on where they differ: how long a look-up takes tells nothing of the keys that there are.
+/// Index of tenants by key. Uses a hash that is seeded per process and a constant-time comparison, so that the duration
+/// of a look-up reveals nothing about existing keys.
 class TenantIndex {
 public:
     explicit TenantIndex(std::uint64_t seed) : seed_(seed) {}
-    /// @param table outlives the index, or the next `build`.
+    /// Replaces the index. @param table must outlive the index, or exist until the next `build`.
     void build(const wire::RouteTable& table);
-    /// The tenant that holds a key; null if none does.
-    [[nodiscard]] const wire::Tenant* holderOf(std::string_view key) const;
+    /// @return the tenant that owns a key; null if there is none.
+    [[nodiscard]] const wire::Tenant* findByKey(std::string_view key) const;
 
 private:
     struct Entry {
--- a/tests/unit/decision/admission_test.cc
+++ b/tests/unit/decision/admission_test.cc
@@ -12,9 +12,10 @@
 namespace {
 
 struct AdmissionFixture {
-    /// Share admitted of each kind, which arrive equally often for two seconds at a level.
-    /// @param repeats of callers that ask again, beside each three requests.
-    std::map<std::uint32_t, double> sharesAt(double level, int repeats) {
+    /// Sends requests of three priorities, each equally often, for two seconds.
+    /// @param client_retries   sent besides each three requests.
+    /// @return the admitted share by priority; of client retries by `kClientRetry`.
+    std::map<std::uint32_t, double> sharesAt(double level, int client_retries) {
         std::map<std::uint32_t, int> admitted;
         constexpr int kRounds = 2000;
         for (int round = 0; round < kRounds; ++round) {
@@ -22,8 +23,8 @@
                 admitted[priority] +=
                     admission.admits(time.clock.now(), {"leaf", level, 40ms}, priority, false) ? 1 : 0;
             }
-            for (int repeat = 0; repeat < repeats; ++repeat) {
-                admitted[kRepeat] += admission.admits(time.clock.now(), {"leaf", level, 40ms}, 0, true) ? 1 : 0;
+            for (int retry = 0; retry < client_retries; ++retry) {
+                admitted[kClientRetry] += admission.admits(time.clock.now(), {"leaf", level, 40ms}, 0, true) ? 1 : 0;
             }
             time.advance(1ms);
         }
@@ -34,7 +35,7 @@
         return shares;
     }
 
-    static constexpr std::uint32_t kRepeat = 9;
+    static constexpr std::uint32_t kClientRetry = 9;
     tests::VirtualTime time;
     adapters::SeededRandom random{1};
     decision::Admission admission{random, {}};
@@ -44,31 +45,31 @@
 
 BOOST_FIXTURE_TEST_SUITE(unit_decision_admission, AdmissionFixture)
 
-BOOST_AUTO_TEST_CASE(nothing_is_refused_without_a_report_or_at_level_one) {
+BOOST_AUTO_TEST_CASE(nothing_is_rejected_without_a_report_or_at_ratio_one) {
     BOOST_TEST(admission.admits(time.clock.now(), {}, 7, true));
     for (const auto& [priority, share] : sharesAt(1, 1)) {
         BOOST_TEST(share == 1, priority);
     }
 }
 
-BOOST_AUTO_TEST_CASE(the_least_urgent_are_refused_first_down_to_what_they_keep) {
+BOOST_AUTO_TEST_CASE(the_least_urgent_are_rejected_first_down_to_their_minimum_share) {
     const auto mild = sharesAt(0.9, 0);
     BOOST_TEST(mild.at(0) == 1);
     BOOST_TEST(mild.at(1) == 1);
     BOOST_TEST(mild.at(2) < 0.8);
     const auto hard = sharesAt(0.6, 0);
     BOOST_TEST(hard.at(0) == 1);
-    BOOST_TEST(hard.at(1) < 0.67);  // 0.62 is left for it.
+    BOOST_TEST(hard.at(1) < 0.67);  // 0.62 remains for it.
     BOOST_TEST(hard.at(1) > 0.57);
-    BOOST_TEST(hard.at(2) > 0.15);  // It keeps 0.18, more than a quarter of what all have.
+    BOOST_TEST(hard.at(2) > 0.15);  // It keeps 0.18: 0.3 of the ratio.
     BOOST_TEST(hard.at(2) < 0.23);
 }
 
-BOOST_AUTO_TEST_CASE(callers_that_ask_again_are_refused_before_all_others) {
+BOOST_AUTO_TEST_CASE(client_retries_are_rejected_before_all_others) {
     const auto shares = sharesAt(0.8, 1);
     BOOST_TEST(shares.at(0) == 1);
     BOOST_TEST(shares.at(2) > 0.95);
-    BOOST_TEST(shares.at(kRepeat) < 0.35);
+    BOOST_TEST(shares.at(kClientRetry) < 0.35);
 }
 
 BOOST_AUTO_TEST_CASE(no_priority_starves_however_little_can_be_served) {
@@ -78,18 +79,17 @@
     BOOST_TEST(shares.at(2) > 0.08);
 }
 
-/// After most of a service was lost, half of the requests are of callers that were refused before. What the
-/// least urgent keep is a part of what can be admitted of the others: counted against all, they were served
-/// so little that 0.24 of all requests ended well, and the rest asked again.
+/// Guards against a retry storm that starves the least urgent priority: its minimum share is a share of the ratio that
+/// first attempts have, client retries not counted.
 BOOST_AUTO_TEST_CASE(callers_that_ask_again_take_nothing_of_what_a_priority_keeps) {
     const auto shares = sharesAt(0.12, 4);
     BOOST_TEST(shares.at(0) > 0.28);
-    BOOST_TEST(shares.at(2) > 0.17);  // 0.84 of three can be admitted: 0.28 of each, and 0.72 of that is kept.
+    BOOST_TEST(shares.at(2) > 0.17);  // The ratio without retries is 0.28, and 0.72 of it is kept.
     BOOST_TEST(shares.at(2) < 0.23);
-    BOOST_TEST(shares.at(kRepeat) < 0.01);
+    BOOST_TEST(shares.at(kClientRetry) < 0.01);
 }
 
-/// What is refused is slot time: who takes much of it counts for much.
+/// Ratios apply to slot time: a request that costs more counts for more.
 BOOST_AUTO_TEST_CASE(shares_are_of_work_and_not_of_requests) {
     constexpr int kRounds = 4000;
     int urgent = 0;
--- a/tests/unit/decision/bottleneck_view_test.cc
+++ b/tests/unit/decision/bottleneck_view_test.cc
@@ -10,10 +10,10 @@
 namespace {
 
 struct ViewFixture {
-    /// A route of the instance that makes two calls of `inner` in each run, and one that makes none.
+    /// Teaches the graph a route that makes two calls to `inner` in each run, and one that makes none.
     void learnCalls() {
         const auto now = time.clock.now();
-        graph.onCall(now, "inner", 900ms);  // Its usual time.
+        graph.onCall(now, "inner", 900ms);  // Its usual timeout.
         for (int run = 0; run < 40; ++run) {
             auto deadline = now + 400ms + 10ms * run;
             auto plain_deadline = deadline + 100ms;
@@ -47,7 +47,7 @@
     BOOST_TEST(!view.isInner("any"));
 }
 
-/// One slow relay among several lowers the level only by what it holds back.
+/// One overloaded relay lowers the ratio only by its part of the load.
 BOOST_AUTO_TEST_CASE(the_relays_of_a_service_count_together) {
     report("order", "n1", {10, 20, 10}, 50ms);
     report("order", "n2", {10, 20, 10}, 50ms);
@@ -68,16 +68,16 @@
     BOOST_TEST(below("plain").service.empty());
 }
 
-BOOST_AUTO_TEST_CASE(the_least_level_counts_wherever_it_is_below) {
+BOOST_AUTO_TEST_CASE(the_lowest_ratio_counts_at_any_depth) {
     report("order", "n1", {10, 20, 10}, 50ms, {"leaf", 0.3, 88ms});
     BOOST_TEST(least("order").service == "leaf");
     BOOST_TEST(std::abs(least("order").level - 0.3) < 1e-6);
     BOOST_TEST((least("order").cost == 88ms));
-    report("other", "n1", {10, 20, 10}, 50ms, {"leaf", 0.8, 88ms});  // The same service, by another way.
+    report("other", "n1", {10, 20, 10}, 50ms, {"leaf", 0.8, 88ms});  // The same service, reported on another route.
     BOOST_TEST(std::abs(least("order").level - 0.4) < 1e-6);
 }
 
-/// A relay that has started anew does not know yet which calls its instance makes.
+/// A relay that has just started does not know which calls its instance makes, and reports too many.
 BOOST_AUTO_TEST_CASE(what_most_relays_say_of_a_route_counts) {
     for (int round = 0; round < 20; ++round) {
         for (const auto* relay : {"n1", "n2", "n3"}) {
@@ -91,7 +91,7 @@
     BOOST_TEST(std::abs(least("order").level - 0.3) < 1e-6);
 }
 
-/// After an overload a node calls the relay of its own zone only.
+/// Guards against a ratio that stays low after an overload, when the node calls only the relay of its own zone.
 BOOST_AUTO_TEST_CASE(relays_that_are_not_called_any_more_do_not_hold_the_level_down) {
     report("order", "n1", {50, 20, 20}, 50ms);
     report("order", "n2", {50, 20, 20}, 50ms);
@@ -102,8 +102,7 @@
     BOOST_TEST(least("order").level == 1);
 }
 
-/// An entry that lets little in hears of the bottleneck a few times a second: each word counts the more, the older the
-/// last one is.
+/// Guards against an entry that goes on rejecting after an overload: it admits little, so it receives few reports.
 BOOST_AUTO_TEST_CASE(a_word_after_a_while_replaces_what_was_told_before) {
     for (int round = 0; round < 20; ++round) {
         report("order", "n1", {10, 20, 10}, 50ms, {"leaf", 0.3, 88ms});
@@ -114,8 +113,8 @@
     BOOST_TEST(least("order").level > 0.95);
 }
 
-/// Words that come together are averaged: each is one node's estimate.
-BOOST_AUTO_TEST_CASE(words_that_come_together_are_averaged) {
+/// Each report is the estimate of one node.
+BOOST_AUTO_TEST_CASE(reports_in_quick_succession_are_averaged) {
     for (int round = 0; round < 40; ++round) {
         time.advance(5ms);
         report("order", "n1", {10, 20, 10}, 50ms, {"leaf", round % 2 == 0 ? 0.2 : 0.6, 88ms});
@@ -123,7 +122,7 @@
     BOOST_TEST(std::abs(least("order").level - 0.4) < 0.1);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_not_reported_any_more_fades) {
+BOOST_AUTO_TEST_CASE(estimates_without_new_reports_expire) {
     report("order", "n1", {50, 20, 20}, 50ms);
     time.advance(1900ms);
     BOOST_TEST(least("order").level > 0.9);
--- a/tests/unit/decision/call_graph_test.cc
+++ b/tests/unit/decision/call_graph_test.cc
@@ -13,15 +13,15 @@
 
 namespace {
 
-/// Calls that a route's runs make, one after the other.
+/// Calls to one callee that a run makes, one after the other.
 struct Calls {
     std::string callee;
     int times = 0;
-    Duration usual{};       ///< The deadline that they give.
-    double fail_share = 0;  ///< A run one of whose calls fails ends there.
+    Duration usual{};       ///< Their timeout, unless the run has less time left.
+    double fail_share = 0;  ///< Probability that a call fails, which ends the run.
 };
 
-/// A route of the instance: how often it is asked, what its callers give, how long it runs.
+/// A route of the instance: its request rate, timeout and duration, and the calls of a run.
 struct Route {
     std::string name;
     double per_second = 0;
@@ -41,8 +41,8 @@
             arrive(route);
         });
     }
-    /// A call gives its usual time or what its run has left, in whole milliseconds, and arrives a
-    /// moment later.
+    /// Simulates one run. A call's timeout is the usual one or the run's remaining time, in whole milliseconds, and it
+    /// arrives after a short delay.
     void run(const Route& route) {
         std::vector<Calls> steps;
         for (const auto& calls : route.calls) {
@@ -52,7 +52,7 @@
         auto deadline = began + route.deadline;
         const auto number = graph.onRunBegan(began, route.name, {route.repeat_share, 1}, &deadline);
         BOOST_TEST((deadline <= began + route.deadline));
-        // Ample time by the mean that was seen, which is not quite the nominal one.
+        // The graph uses the observed mean time, which differs somewhat from the nominal one.
         BOOST_TEST((2 * (deadline - began) >= 5 * route.time || deadline == began + route.deadline));
         step(number, deadline, steps, 0, route.time / static_cast<int>(steps.size() + 1));
     }
@@ -84,7 +84,7 @@
     tests::VirtualTime time;
     adapters::SeededRandom random{1};
     decision::CallGraph graph{{}};
-    std::map<std::string, double> repeat_shares;  ///< Sums, by callee.
+    std::map<std::string, double> repeat_shares;  ///< Sums by callee.
     std::map<std::string, int> made;
 };
 
@@ -111,7 +111,7 @@
     }
 }
 
-/// The usual deadlines of a mesh: no run comes near enough to its end to show a call by itself.
+/// With usual timeouts no run ends close enough to its deadline to identify a call without samples.
 BOOST_AUTO_TEST_CASE(calls_are_counted_though_no_run_comes_near_its_end) {
     arrive({"sign", 30, 5s, 300ms, {{"stock", 2, 2s}}});
     arrive({"check", 60, 2500ms, 250ms, {{"stock", 1, 2s}, {"price", 3, 1s}}});
@@ -130,7 +130,7 @@
     }
 }
 
-/// Where most runs die at their first call, those that make none are still told from them.
+/// Most runs fail at their first call, and must still be distinguished from runs without calls.
 BOOST_AUTO_TEST_CASE(failing_runs_are_known_to_make_calls) {
     arrive({"check", 60, 2500ms, 250ms, {{"stock", 4, 2s, 0.95}}});
     arrive({"plain", 40, 1200ms, 100ms, {}});
@@ -144,16 +144,16 @@
     arrive(route);
     time.advance(60s);
     BOOST_TEST(std::abs(calls("check", "stock") - 1) < 0.1);
-    arrive({"check", 600, 2500ms, 250ms, {{"stock", 3, 2s}}});  // Nearly all from now on.
+    arrive({"check", 600, 2500ms, 250ms, {{"stock", 3, 2s}}});  // Most runs from now on.
     time.advance(90s);
     BOOST_TEST(calls("check", "stock") > 2.5);
 }
 
-/// What calls take over is right in the mean: those of repeated runs count as repeats below.
-BOOST_AUTO_TEST_CASE(calls_take_over_the_share_of_repeats_of_the_runs_that_make_them) {
+/// Only the mean has to be right: calls of retried requests count as retries at their callee.
+BOOST_AUTO_TEST_CASE(calls_inherit_the_retry_probability_of_their_runs) {
     arrive({"sign", 30, 5s, 300ms, {{"stock", 2, 2s}}, 0.2});
     arrive({"check", 60, 2500ms, 250ms, {{"stock", 1, 2s}}, 0});
-    arrive({"plain", 40, 1200ms, 100ms, {}, 1});  // Makes no calls: counts for nothing.
+    arrive({"plain", 40, 1200ms, 100ms, {}, 1});  // Makes no calls, so it is not counted.
     time.advance(60s);
     const double mean = repeat_shares["stock"] / made["stock"];
     BOOST_TEST(std::abs(mean - 0.1) < 0.03, mean);
@@ -163,7 +163,7 @@
     const auto began = time.queue.now();
     BOOST_TEST(!graph.explainFailure(began, began));
     graph.onCallFailed(began + 10ms);
-    BOOST_TEST(!graph.explainFailure(began + 12ms, began + 11ms));  // Begun after the call had failed.
+    BOOST_TEST(!graph.explainFailure(began + 12ms, began + 11ms));  // The run began after the failed call.
     BOOST_TEST(graph.explainFailure(began + 12ms, began));
     BOOST_TEST(!graph.explainFailure(began + 13ms, began));  // It explains one failure only.
     graph.onCallFailed(began + 20ms);
--- a/tests/unit/decision/instance_demand_test.cc
+++ b/tests/unit/decision/instance_demand_test.cc
@@ -6,14 +6,14 @@
 
 namespace {
 
-/// A steady stream at an instance of 20 slots that may use 19.
+/// A steady request rate at an instance that may use 19 slots.
 struct DemandCase {
     const char* name;
     int per_second;
     double represents;
     std::uint32_t running;
     Duration waiting_work;
-    double least;  ///< Bounds of the level.
+    double least;  ///< Bounds of the admission ratio.
     double most;
 };
 
@@ -36,16 +36,16 @@
 
 BOOST_AUTO_TEST_SUITE(unit_decision_instance_demand)
 
-BOOST_AUTO_TEST_CASE(the_level_is_what_the_instance_can_do_of_what_was_asked_for) {
+BOOST_AUTO_TEST_CASE(the_ratio_is_capacity_by_demand) {
     const DemandCase cases[] = {
         {"idle", 50, 1, 1, 0ms, 1, 1},
         {"nearly all in use", 900, 1, 18, 0ms, 1, 1},
         {"twice the capacity, nothing refused yet", 1900, 1, 19, 0ms, 0.46, 0.50},
         {"the same, half refused at entries", 950, 2, 19, 0ms, 0.46, 0.50},
         {"the same, nine tenths refused at entries", 190, 10, 19, 0ms, 0.46, 0.50},
-        {"a queue is to be worked off besides", 950, 2, 19, 4000ms, 0.30, 0.42},
-        {"however much waits, some is let in", 950, 2, 19, 60000ms, 0.10, 0.20},
-        {"held back by another bottleneck", 250, 4, 5, 0ms, 1, 1},
+        {"the same, with a queue to drain", 950, 2, 19, 4000ms, 0.30, 0.42},
+        {"a very long queue leaves a minimum share to new requests", 950, 2, 19, 60000ms, 0.10, 0.20},
+        {"limited by another bottleneck", 250, 4, 5, 0ms, 1, 1},
     };
     for (const auto& entry : cases) {
         TimePoint now(100s);
@@ -55,8 +55,8 @@
     }
 }
 
-/// The level follows within a window, however far the load jumps, and does not swing.
-BOOST_AUTO_TEST_CASE(a_jump_of_the_load_is_followed_within_a_second) {
+/// Guards against an admission ratio that lags behind a load step by more than a window, or oscillates after it.
+BOOST_AUTO_TEST_CASE(the_ratio_follows_a_load_step_within_a_second) {
     TimePoint now(100s);
     decision::InstanceDemand demand{{}};
     demand.onAnswered("r", kTime);
--- a/tests/unit/decision/repeat_budget_fleet_test.cc
+++ b/tests/unit/decision/repeat_budget_fleet_test.cc
@@ -1,5 +1,6 @@
-/// The parts of all relays of a service together, as relays come and go and load moves between them: in
-/// no window may they let in more repeats than the bound of the whole allows. Each request wants a repeat.
+/// @file
+/// Guards against relays of a service that together admit more retries in a window than its limit allows, while relays
+/// restart and load moves between them. Every request asks for a retry.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -14,73 +15,76 @@
 
 namespace {
 
-constexpr decision::RepeatBound kBound{0.2, 20, 10s};
+constexpr decision::RepeatBound kLimit{0.2, 20, 10s};
 constexpr TimePoint kStart(100s);
-constexpr Duration kLength = 60s;
+constexpr Duration kDuration = 60s;
 constexpr Duration kStep = 10ms;  ///< One request in each.
 constexpr std::uint64_t kSeeds = 20;
 
-/// What moves, each a mean time between two changes; zero: never.
-struct Unrest {
+/// What changes during a run, as mean times between two changes; zero: never.
+struct Disturbance {
     const char* name;
     std::size_t relays;
-    Duration restarts;     ///< Of one relay or another. It is away for up to three seconds.
-    Duration load_moves;   ///< Weights of all relays are drawn anew.
-    double inherited = 0;  ///< Share of the requests that are calls of repeated runs.
+    Duration restarts;     ///< Of a random relay, which is down for up to three seconds.
+    Duration load_moves;   ///< New random weights of all relays.
+    double inherited = 0;  ///< Share of the requests that are calls of retried requests.
 };
 
-const Unrest kRows[] = {
+const Disturbance kCases[] = {
     {"nothing", 4, 0s, 0s},
     {"restarts", 4, 1300ms, 0s},
-    {"restarts in quick series", 4, 300ms, 0s},
+    {"frequent restarts", 4, 300ms, 0s},
     {"restarts among many", 12, 200ms, 0s},
     {"restarts of the only relay", 1, 4s, 0s},
     {"load moves", 4, 0s, 2s},
-    {"load moves all the time", 4, 0s, 300ms},
+    {"load moves constantly", 4, 0s, 300ms},
     {"both", 4, 1300ms, 2s},
-    {"both, with calls of repeated runs", 4, 1300ms, 2s, 0.08},
+    {"both, with calls of retried requests", 4, 1300ms, 2s, 0.08},
 };
 
 struct Relay {
-    std::unique_ptr<decision::RepeatBudget> budget;  ///< Null while it is away.
-    TimePoint back{};
+    std::unique_ptr<decision::RepeatBudget> budget;  ///< Null while the relay is down.
+    TimePoint restarts_at{};
     double weight = 1;
 };
 
 class Service {
 public:
-    Service(const Unrest& unrest, std::uint64_t seed) : unrest_(unrest), random_(seed), relays_(unrest.relays) {
+    Service(const Disturbance& disturbance, std::uint64_t seed)
+        : disturbance_(disturbance), random_(seed), relays_(disturbance.relays) {
         for (auto& relay : relays_) {
-            relay.budget = std::make_unique<decision::RepeatBudget>(kBound, kStart);
+            relay.budget = std::make_unique<decision::RepeatBudget>(kLimit, kStart);
         }
     }
 
     void run() {
-        for (now_ = kStart; now_ < kStart + kLength; now_ += kStep) {
+        for (now_ = kStart; now_ < kStart + kDuration; now_ += kStep) {
             disturb();
-            requests_.push_back(now_);  // Also if no relay is there: it was sent.
+            requests_.push_back(now_);  // Counts as sent also while no relay is up.
             if (auto* relay = chooseRelay()) {
                 request(*relay);
             }
         }
     }
 
-    /// The most by which repeats exceed the bound in any window; requests are those of that window.
+    /// @return the greatest excess of retries over the limit, by the requests of the same window, in any window.
     [[nodiscard]] double worstExcess() const {
-        double worst = -kBound.slack;
+        double worst = -kLimit.slack;
         for (const auto begin : repeats_) {
-            const double bound = kBound.ratio * countFrom(requests_, begin) + kBound.slack;
-            worst = std::max(worst, countFrom(repeats_, begin) - bound);
+            const double limit = kLimit.ratio * countFrom(requests_, begin) + kLimit.slack;
+            worst = std::max(worst, countFrom(repeats_, begin) - limit);
         }
         return worst;
     }
-    /// Repeats for each request that a relay took.
-    [[nodiscard]] double share() const { return static_cast<double>(repeats_.size()) / static_cast<double>(taken_); }
+    /// @return retries per request that a relay received.
+    [[nodiscard]] double retryShare() const {
+        return static_cast<double>(repeats_.size()) / static_cast<double>(received_);
+    }
 
 private:
     static double countFrom(const std::vector<TimePoint>& times, TimePoint begin) {
         const auto from = std::lower_bound(times.begin(), times.end(), begin);
-        return static_cast<double>(std::lower_bound(from, times.end(), begin + kBound.window) - from);
+        return static_cast<double>(std::lower_bound(from, times.end(), begin + kLimit.window) - from);
     }
     bool happens(Duration mean) {
         return mean > Duration::zero() && random_.unit() < toSeconds(kStep) / toSeconds(mean);
@@ -91,16 +95,16 @@
     }
     void disturb() {
         for (auto& relay : relays_) {
-            if (relay.budget == nullptr && relay.back <= now_) {
-                relay.budget = std::make_unique<decision::RepeatBudget>(kBound, now_);
+            if (relay.budget == nullptr && relay.restarts_at <= now_) {
+                relay.budget = std::make_unique<decision::RepeatBudget>(kLimit, now_);
             }
         }
-        if (happens(unrest_.restarts)) {
+        if (happens(disturbance_.restarts)) {
             auto& relay = relays_[random_.below(relays_.size())];
             relay.budget = nullptr;
-            relay.back = now_ + std::chrono::milliseconds(random_.below(3000));
+            relay.restarts_at = now_ + std::chrono::milliseconds(random_.below(3000));
         }
-        if (happens(unrest_.load_moves)) {
+        if (happens(disturbance_.load_moves)) {
             for (auto& relay : relays_) {
                 relay.weight = random_.unit() < 0.5 ? 0.02 : 1;
             }
@@ -111,31 +115,31 @@
         for (const auto& relay : relays_) {
             total += relay.budget == nullptr ? 0 : relay.weight;
         }
-        double left = random_.unit() * total;
+        double remaining = random_.unit() * total;
         for (auto& relay : relays_) {
-            left -= relay.budget == nullptr ? 0 : relay.weight;
-            if (relay.budget != nullptr && left <= 0) {
+            remaining -= relay.budget == nullptr ? 0 : relay.weight;
+            if (relay.budget != nullptr && remaining <= 0) {
                 return &relay;
             }
         }
         return nullptr;
     }
     void request(Relay& relay) {
-        const bool is_inherited = random_.unit() < unrest_.inherited;
-        ++taken_;
+        const bool is_inherited = random_.unit() < disturbance_.inherited;
+        ++received_;
         relay.budget->onFirst(now_, is_inherited ? 1 : 0);
         if (is_inherited || relay.budget->tryRepeat(now_, relaysUp(), 1)) {
             repeats_.push_back(now_);
         }
     }
 
-    Unrest unrest_;
+    Disturbance disturbance_;
     adapters::SeededRandom random_;
     TimePoint now_{};
     std::vector<Relay> relays_;
     std::vector<TimePoint> requests_;
     std::vector<TimePoint> repeats_;
-    std::size_t taken_ = 0;
+    std::size_t received_ = 0;
 };
 
 }  // namespace
@@ -143,23 +147,23 @@
 BOOST_AUTO_TEST_SUITE(unit_decision_repeat_budget_fleet)
 
 BOOST_AUTO_TEST_CASE(the_parts_never_exceed_the_whole) {
-    for (const auto& row : kRows) {
-        double worst = -kBound.slack;
+    for (const auto& entry : kCases) {
+        double worst = -kLimit.slack;
         for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-            Service service(row, seed);
+            Service service(entry, seed);
             service.run();
             worst = std::max(worst, service.worstExcess());
         }
-        BOOST_TEST(worst <= 0, row.name << ": " << worst << " repeats beyond the bound");
+        BOOST_TEST(worst <= 0, entry.name << ": " << worst << " retries beyond the limit");
     }
 }
 
-/// Most of what is allowed is let in: a bound is kept easily by letting nothing in.
-BOOST_AUTO_TEST_CASE(most_of_the_bound_can_be_spent) {
-    for (const auto& row : kRows) {
-        Service service(row, 1);
+/// Guards against a budget that stays within its limit only because it denies too much.
+BOOST_AUTO_TEST_CASE(most_of_the_limit_can_be_used) {
+    for (const auto& entry : kCases) {
+        Service service(entry, 1);
         service.run();
-        BOOST_TEST(service.share() > 0.7 * kBound.ratio, row.name << ": " << service.share());
+        BOOST_TEST(service.retryShare() > 0.7 * kLimit.ratio, entry.name << ": " << service.retryShare());
     }
 }
 
--- a/tests/unit/decision/usual_deadlines_test.cc
+++ b/tests/unit/decision/usual_deadlines_test.cc
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(unit_decision_usual_deadlines)
 
-BOOST_AUTO_TEST_CASE(who_gives_less_than_is_usual_on_its_route_has_asked_before) {
+BOOST_AUTO_TEST_CASE(a_timeout_below_the_usual_one_of_the_route_is_shortened) {
     decision::UsualDeadlines deadlines;
     const TimePoint now(100s);
     BOOST_TEST(!deadlines.isShortened(now, "browse", 5000ms));
@@ -19,13 +19,13 @@
     decision::UsualDeadlines deadlines;
     TimePoint now(100s);
     deadlines.isShortened(now, "browse", 600s);
-    int repeats = 0;
+    int shortened = 0;
     for (int second = 0; second < 60; ++second) {
         now += 1s;
-        repeats += deadlines.isShortened(now, "browse", 5000ms) ? 1 : 0;
+        shortened += deadlines.isShortened(now, "browse", 5000ms) ? 1 : 0;
     }
-    BOOST_TEST(repeats > 0);
-    BOOST_TEST(repeats <= 20);
+    BOOST_TEST(shortened > 0);
+    BOOST_TEST(shortened <= 20);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/policy/table_rows_test.cc
+++ b/tests/unit/policy/table_rows_test.cc
@@ -34,7 +34,7 @@
 
 BOOST_AUTO_TEST_SUITE(unit_policy_table_rows)
 
-BOOST_AUTO_TEST_CASE(a_cell_holds_what_its_column_allows_and_an_error_says_what_that_is) {
+BOOST_AUTO_TEST_CASE(cells_are_checked_and_errors_name_the_allowed_values) {
     struct Case {
         const char* column;
         const char* value;
@@ -77,12 +77,12 @@
                "");
     BOOST_TEST(tests::errorOf([&] { return policy::setCell(&table, "service/desk", "health_path", "/h"); }) == "");
     BOOST_TEST(tests::errorOf([&] { return policy::setCell(&table, "service/desk", "connections", "9"); }) == "");
-    wire::RouteTable again;
+    wire::RouteTable restored;
     for (auto [row, cells] : policy::rowsOf(table)) {
         std::erase_if(cells, [](const auto& cell) { return cell.second.empty() || cell.second == "0"; });
-        BOOST_TEST(tests::errorOf([&] { return policy::putRow(&again, row, cells); }) == "");
+        BOOST_TEST(tests::errorOf([&] { return policy::putRow(&restored, row, cells); }) == "");
     }
-    BOOST_TEST((policy::rowsOf(again) == policy::rowsOf(table)));
+    BOOST_TEST((policy::rowsOf(restored) == policy::rowsOf(table)));
 }
 
 BOOST_AUTO_TEST_CASE(a_route_needs_all_its_cells_and_services_that_are_there) {
@@ -96,7 +96,7 @@
                "table: route/browse.services: there is no service/nobody");
 }
 
-BOOST_AUTO_TEST_CASE(a_service_that_a_route_goes_to_stays) {
+BOOST_AUTO_TEST_CASE(a_service_in_use_cannot_be_removed) {
     auto table = tableOf();
     BOOST_TEST(tests::errorOf([&] { return policy::removeRow(&table, "service/desk"); }) ==
                "table: service/desk: route/browse goes to it");
@@ -105,7 +105,7 @@
                "table: service/leaf: there is no such row");
 }
 
-BOOST_AUTO_TEST_CASE(tenants_are_rows_whose_keys_nobody_reads) {
+BOOST_AUTO_TEST_CASE(tenant_rows_never_contain_full_keys) {
     auto table = tableOf();
     const auto set = [&](const char* column, const std::string& value) {
         return tests::errorOf([&] { return policy::setCell(&table, "tenant/house", column, value); });
@@ -119,15 +119,15 @@
     const auto shown = policy::rowsOf(table).at("tenant/house");
     BOOST_TEST(shown.at("keys").find("secret") == std::string::npos);
     BOOST_TEST(shown.at("priority") == "-");
-    // One is taken away and one added; the other one is named by its fingerprint.
+    // Removes one key, adds one, and keeps the other one by its fingerprint.
     const auto first = shown.at("keys").substr(0, shown.at("keys").find(' '));
     BOOST_TEST(set("keys", first + " secret-3") == "");
     BOOST_TEST(table.tenants(0).keys_size() == 2);
     BOOST_TEST(table.tenants(0).keys(0) == "secret-1");
     BOOST_TEST(table.tenants(0).keys(1) == "secret-3");
-    const auto refused = set("keys", "#00000000 secret-4");
-    BOOST_TEST(refused.starts_with("table: tenant/house.keys: "));
-    BOOST_TEST(refused.find("secret-4") == std::string::npos);
+    const auto rejected = set("keys", "#00000000 secret-4");
+    BOOST_TEST(rejected.starts_with("table: tenant/house.keys: "));
+    BOOST_TEST(rejected.find("secret-4") == std::string::npos);
     BOOST_TEST(set("priority", "8") ==
                "table: tenant/house.priority: got '8', allowed: a whole number from 0 to 7, or -");
     BOOST_TEST(set("priority", "0") == "");
