--- a/apps/sidecar/sidecar_daemon.cc
+++ b/apps/sidecar/sidecar_daemon.cc
@@ -204,7 +204,7 @@
 }
 
 void SidecarDaemon::applyTableLimits() {
-    const auto& limits = node_.table().whole().limits();
+    const auto& limits = node_.table().contents().limits();
     adapters::HttpLimits http;
     http.header_bytes = limits.header_bytes() > 0 ? limits.header_bytes() : kWideLimits.header_bytes;
     http.body_bytes = limits.body_bytes() > 0 ? limits.body_bytes() : kWideLimits.body_bytes;
--- a/sim/sidecar_fleet.h
+++ b/sim/sidecar_fleet.h
@@ -25,7 +25,7 @@
 /// That callers give.
 inline constexpr Duration kCallerDeadline = 2s;
 /// Of the repeats of each service.
-inline constexpr decision::RepeatBound kRepeats{0.05, 12, 10s};
+inline constexpr decision::RetryLimit kRepeats{0.05, 12, 10s};
 /// A revoked key runs nothing later than this, where a fleet has tenants.
 inline constexpr Duration kRevocation = 5s;
 /// Of the quotas: the window in which they are judged, and what may be beyond them there.
--- a/src/adapters/sidecar_metrics.cc
+++ b/src/adapters/sidecar_metrics.cc
@@ -62,16 +62,16 @@
     const auto own = node.serviceLoad();
     setGauge("dewcrank_instance_demand", "Slots that all requests would need, refused ones included.", own.demand);
     setGauge("dewcrank_instance_busy", "Slots in use, mean of a second.", own.busy);
-    setGauge("dewcrank_instance_level", "Share of the requests upstream to admit.", own.level());
-    const auto& repeats = node.relay().repeatTotals();
-    setGauge("dewcrank_repeat_requests", "Requests that repeats are allowed for, since the start.", repeats.requests);
-    setGauge("dewcrank_repeats_inherited", "Calls of repeated runs, since the start.", repeats.inherited);
-    setGauge("dewcrank_repeats_granted", "Repeats let in, since the start.", static_cast<double>(repeats.granted));
-    setGauge("dewcrank_repeats_denied", "Repeats denied, since the start.", static_cast<double>(repeats.denied));
+    setGauge("dewcrank_instance_level", "Share of the requests upstream to admit.", own.admitRatio());
+    const auto& retries = node.relay().repeatTotals();
+    setGauge("dewcrank_repeat_requests", "Requests that repeats are allowed for, since the start.", retries.requests);
+    setGauge("dewcrank_repeats_inherited", "Calls of repeated runs, since the start.", retries.inherited);
+    setGauge("dewcrank_repeats_granted", "Repeats let in, since the start.", static_cast<double>(retries.granted));
+    setGauge("dewcrank_repeats_denied", "Repeats denied, since the start.", static_cast<double>(retries.denied));
     const auto window = node.repeatWindow();
-    setGauge("dewcrank_repeats_window", "Repeats in the last window, inherited ones included.", window.repeats);
+    setGauge("dewcrank_repeats_window", "Repeats in the last window, inherited ones included.", window.retries);
     setGauge("dewcrank_repeats_window_allowed", "This relay's part of the bound in the last window.", window.allowed);
-    setGauge("dewcrank_least_level", "Least level of a service that this node calls.", node.leastBottleneck().level);
+    setGauge("dewcrank_least_level", "Least level of a service that this node calls.", node.leastBottleneck().admit_ratio);
     setGauge("dewcrank_table_version", "Version of the table in force.", static_cast<double>(node.table().version()));
     const auto age = node.tableAge();
     setGauge("dewcrank_table_age_seconds", "Since the table was known to be the newest; -1: never.",
--- a/src/adapters/sidecar_settings.h
+++ b/src/adapters/sidecar_settings.h
@@ -9,7 +9,7 @@
 #include "src/adapters/socket_address.h"
 #include "src/base/error.h"
 #include "src/base/time.h"
-#include "src/decision/repeat_budget.h"
+#include "src/decision/retry_budget.h"
 
 namespace dewcrank::adapters {
 
@@ -28,7 +28,7 @@
     SocketAddress store;
     std::vector<SocketAddress> seeds;  ///< Heartbeat addresses of other nodes; may be out of date.
     Duration heartbeat_interval = 1500ms;
-    decision::RepeatBound repeats{0.1, 10, 10s};
+    decision::RetryLimit repeats{0.1, 10, 10s};
     /// A revoked key runs nothing later than this after its revocation; zero: keys are not bound to that.
     Duration key_revocation{};
     Duration stop_grace = 6s;
--- a/src/decision/admission.cc
+++ b/src/decision/admission.cc
@@ -28,16 +28,16 @@
 
 /// Share of a rank's requests to admit. Slot time is rejected from the least urgent rank upwards, from each rank down
 /// to its minimum share.
-double Admission::admitProbability(const Arrivals& arrivals, double level, std::uint32_t rank) const {
+double Admission::admitProbability(const Arrivals& arrivals, double admit_ratio, std::uint32_t rank) const {
     double total = 0;
     double non_retry = 0;
     for (const auto& [other_rank, slot_time] : arrivals.slot_time) {
         total += slot_time;
         non_retry += other_rank < kClientRetryRank ? slot_time : 0;
     }
-    double to_reject = (1 - level) * total;
+    double to_reject = (1 - admit_ratio) * total;
     // Client retries are rejected first, which leaves a higher ratio to the other requests.
-    const double non_retry_ratio = non_retry > 0 ? std::min(1.0, level * total / non_retry) : level;
+    const double non_retry_ratio = non_retry > 0 ? std::min(1.0, admit_ratio * total / non_retry) : admit_ratio;
     // A low ratio is shared more evenly, or the least urgent priorities would be left with almost nothing.
     const double even_share = std::min(1 - non_retry_ratio, kEvenAdmitRatio + 1 - 2 * non_retry_ratio);
     const double min_share = non_retry_ratio * std::max(knobs_.min_share, even_share);
@@ -60,7 +60,7 @@
     decay(now, &arrivals);
     const auto rank = priority + (is_client_retry ? kClientRetryRank : 0);
     arrivals.slot_time[rank] += toSeconds(std::max(bottleneck.cost, kMinCost));
-    return bottleneck.level >= 1 || random_.unit() < admitProbability(arrivals, bottleneck.level, rank);
+    return bottleneck.admit_ratio >= 1 || random_.unit() < admitProbability(arrivals, bottleneck.admit_ratio, rank);
 }
 
 }  // namespace dewcrank::decision
--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -38,7 +38,7 @@
         std::map<std::uint32_t, double> slot_time;
     };
     static void decay(TimePoint now, Arrivals* arrivals);
-    [[nodiscard]] double admitProbability(const Arrivals& arrivals, double level, std::uint32_t rank) const;
+    [[nodiscard]] double admitProbability(const Arrivals& arrivals, double admit_ratio, std::uint32_t rank) const;
 
     RandomSource& random_;
     AdmissionKnobs knobs_;
--- a/src/decision/bottleneck_view.cc
+++ b/src/decision/bottleneck_view.cc
@@ -23,24 +23,25 @@
     auto& it = routes_[route];
     const bool is_first = it.service != service || now - it.last_report > 2 * knobs_.report_ttl;
     it.service = service;
-    it.is_inner = report.is_inner.value_or(it.is_inner);
+    it.is_internal = report.is_internal.value_or(it.is_internal);
     updateAverage(&it.time, toSeconds(report.time), is_first);
     it.last_report = now;
-    updateDownstream(&it, report.below);
-    if (!report.below.service.empty()) {
-        onReportedRatio(now, report.below);
+    updateDownstream(&it, report.downstream);
+    if (!report.downstream.service.empty()) {
+        onReportedRatio(now, report.downstream);
     }
 }
 
-void BottleneckView::updateDownstream(Route* route, const Bottleneck& below) const {
-    for (auto& [service, it] : route->below) {
-        it.reported_share += ((service == below.service ? 1 : 0) - it.reported_share) * knobs_.reported_share_weight;
+void BottleneckView::updateDownstream(Route* route, const Bottleneck& downstream) const {
+    for (auto& [service, it] : route->downstream) {
+        it.reported_share +=
+            ((service == downstream.service ? 1 : 0) - it.reported_share) * knobs_.reported_share_weight;
     }
-    if (below.service.empty()) {
+    if (downstream.service.empty()) {
         return;
     }
-    const auto [found, is_new] = route->below.try_emplace(below.service);
-    updateAverage(&found->second.cost, toSeconds(below.cost), is_new);
+    const auto [found, is_new] = route->downstream.try_emplace(downstream.service);
+    updateAverage(&found->second.cost, toSeconds(downstream.cost), is_new);
     found->second.reported_share = is_new ? 1 : found->second.reported_share;
 }
 
@@ -68,19 +69,19 @@
 }
 
 /// A new ratio weighs more the longer ago the last one was reported.
-void BottleneckView::onReportedRatio(TimePoint now, const Bottleneck& below) {
-    auto& service = services_[below.service];
+void BottleneckView::onReportedRatio(TimePoint now, const Bottleneck& downstream) {
+    auto& service = services_[downstream.service];
     const auto age = service.last_ratio_report ? toSeconds(now - *service.last_ratio_report)
                                                : std::numeric_limits<double>::infinity();
     const double weight = std::max(knobs_.report_weight, 1 - std::exp(-age / toSeconds(knobs_.ratio_averaging_time)));
-    service.reported_ratio += (below.level - service.reported_ratio) * weight;
+    service.reported_ratio += (downstream.admit_ratio - service.reported_ratio) * weight;
     service.last_ratio_report = now;
 }
 
 /// Holds a ratio for `report_ttl` after its report, then raises it linearly to 1 over the same time.
-double BottleneckView::decayTowardOne(TimePoint now, TimePoint last_report, double level) const {
+double BottleneckView::decayTowardOne(TimePoint now, TimePoint last_report, double admit_ratio) const {
     const double age = toSeconds(now - last_report) / toSeconds(knobs_.report_ttl);
-    return level + (1 - level) * std::clamp(age - 1, 0.0, 1.0);
+    return admit_ratio + (1 - admit_ratio) * std::clamp(age - 1, 0.0, 1.0);
 }
 
 double BottleneckView::admitRatioOf(TimePoint now, const std::string& service) const {
@@ -93,14 +94,14 @@
         it.last_report && (!it.last_ratio_report || now - *it.last_report <= knobs_.report_ttl ||
                            *it.last_report > *it.last_ratio_report);
     if (has_own_report) {
-        return decayTowardOne(now, *it.last_report, it.sum.level());
+        return decayTowardOne(now, *it.last_report, it.sum.admitRatio());
     }
     return it.last_ratio_report ? decayTowardOne(now, *it.last_ratio_report, it.reported_ratio) : 1;
 }
 
 BottleneckView::Costs BottleneckView::costsOf(const Route& route) const {
     Costs costs;
-    for (const auto& [service, it] : route.below) {
+    for (const auto& [service, it] : route.downstream) {
         if (it.reported_share >= knobs_.min_reported_share) {
             costs[service] = it.cost;
         }
@@ -112,23 +113,23 @@
 Bottleneck BottleneckView::lowestAmong(TimePoint now, const Costs& costs) const {
     Bottleneck lowest;
     for (const auto& [service, cost] : costs) {
-        const double level = admitRatioOf(now, service);
-        if (lowest.service.empty() || level < lowest.level) {
-            lowest = {service, level, fromSeconds(cost)};
+        const double admit_ratio = admitRatioOf(now, service);
+        if (lowest.service.empty() || admit_ratio < lowest.admit_ratio) {
+            lowest = {service, admit_ratio, fromSeconds(cost)};
         }
     }
     return lowest;
 }
 
-Bottleneck BottleneckView::least(TimePoint now, const std::string& route) const {
+Bottleneck BottleneckView::bottleneckOf(TimePoint now, const std::string& route) const {
     const auto found = routes_.find(route);
     return found == routes_.end() ? Bottleneck{} : lowestAmong(now, costsOf(found->second));
 }
 
-Bottleneck BottleneckView::leastBelow(TimePoint now, const std::string& route, const CallGraph& graph) const {
+Bottleneck BottleneckView::bottleneckOfCalls(TimePoint now, const std::string& route, const CallGraph& graph) const {
     Costs sum;
     for (const auto& [callee, it] : routes_) {
-        if (!it.is_inner || !graph.depends(route, callee)) {
+        if (!it.is_internal || !graph.depends(route, callee)) {
             continue;
         }
         const double calls = graph.callsPerRun(route, callee).value_or(1);
@@ -139,17 +140,17 @@
     return lowestAmong(now, sum);
 }
 
-bool BottleneckView::isInner(const std::string& route) const {
+bool BottleneckView::isInternal(const std::string& route) const {
     const auto found = routes_.find(route);
-    return found != routes_.end() && found->second.is_inner;
+    return found != routes_.end() && found->second.is_internal;
 }
 
-Bottleneck BottleneckView::leastOfAll(TimePoint now) const {
+Bottleneck BottleneckView::worstBottleneck(TimePoint now) const {
     Bottleneck lowest;
     for (const auto& [service, it] : services_) {
-        const double level = admitRatioOf(now, service);
-        if (lowest.service.empty() || level < lowest.level) {
-            lowest = {service, level, {}};
+        const double admit_ratio = admitRatioOf(now, service);
+        if (lowest.service.empty() || admit_ratio < lowest.admit_ratio) {
+            lowest = {service, admit_ratio, {}};
         }
     }
     return lowest;
--- a/src/decision/bottleneck_view.h
+++ b/src/decision/bottleneck_view.h
@@ -16,22 +16,22 @@
 
 /// The service with the lowest admission ratio among those that a route's requests use.
 struct Bottleneck {
-    std::string service;  ///< Empty if none is known.
-    double level = 1;     ///< Share of the requests to admit, from 0 to 1.
-    Duration cost{};      ///< Slot time at the service that one request needs, summed over all of its calls.
+    std::string service;     ///< Empty if none is known.
+    double admit_ratio = 1;  ///< Share of the requests to admit, from 0 to 1.
+    Duration cost{};         ///< Slot time at the service that one request needs, summed over all of its calls.
 };
 
 /// A service whose admission ratio is at least this counts as not overloaded.
-inline constexpr double kUnloadedLevel = 0.95;
+inline constexpr double kMinNormalAdmitRatio = 0.95;
 
 /// What a relay reports about the route of a request.
 struct RouteReport {
-    ServiceLoad load;  ///< Of the relay's instance.
-    Duration time{};   ///< Mean time that a request of the route holds a slot of the instance.
-    Bottleneck below;  ///< Of the calls that the route makes; its service is empty if the route makes none.
+    ServiceLoad load;       ///< Of the relay's instance.
+    Duration time{};        ///< Mean time that a request of the route holds a slot of the instance.
+    Bottleneck downstream;  ///< Of the calls that the route makes; its service is empty if the route makes none.
     /// True if instances call the route; unset while the relay cannot tell yet, as just after its start: with a wrong
     /// "false", callers would reject calls of requests that were admitted already.
-    std::optional<bool> is_inner;
+    std::optional<bool> is_internal;
 };
 
 /// Constants of the view.
@@ -55,13 +55,13 @@
     void onReport(TimePoint now, const std::string& route, const std::string& service, const std::string& relay,
                   const RouteReport& report);
     /// @return the bottleneck of a request of `route`, its own service included.
-    [[nodiscard]] Bottleneck least(TimePoint now, const std::string& route) const;
+    [[nodiscard]] Bottleneck bottleneckOf(TimePoint now, const std::string& route) const;
     /// @return the bottleneck of the internal calls that the local instance makes in one run of `route`.
-    [[nodiscard]] Bottleneck leastBelow(TimePoint now, const std::string& route, const CallGraph& graph) const;
+    [[nodiscard]] Bottleneck bottleneckOfCalls(TimePoint now, const std::string& route, const CallGraph& graph) const;
     /// True for a route that relays report as internal.
-    [[nodiscard]] bool isInner(const std::string& route) const;
+    [[nodiscard]] bool isInternal(const std::string& route) const;
     /// @return the service with the lowest admission ratio of all; its cost is not set.
-    [[nodiscard]] Bottleneck leastOfAll(TimePoint now) const;
+    [[nodiscard]] Bottleneck worstBottleneck(TimePoint now) const;
 
 private:
     struct RelayLoad {
@@ -83,9 +83,9 @@
     };
     struct Route {
         std::string service;
-        bool is_inner = false;
-        double time = 0;                              ///< Slot time of a request, in seconds.
-        std::map<std::string, DownstreamCost> below;  ///< By service.
+        bool is_internal = false;
+        double time = 0;                                   ///< Slot time of a request, in seconds.
+        std::map<std::string, DownstreamCost> downstream;  ///< By service.
         TimePoint last_report{};
     };
     /// Slot time by service, in seconds.
@@ -93,10 +93,10 @@
 
     void onRelayLoad(TimePoint now, Service* service, const std::string& relay, const ServiceLoad& load) const;
     void evictStale(TimePoint now, Service* service) const;
-    void onReportedRatio(TimePoint now, const Bottleneck& below);
+    void onReportedRatio(TimePoint now, const Bottleneck& downstream);
     [[nodiscard]] double admitRatioOf(TimePoint now, const std::string& service) const;
-    [[nodiscard]] double decayTowardOne(TimePoint now, TimePoint last_report, double level) const;
-    void updateDownstream(Route* route, const Bottleneck& below) const;
+    [[nodiscard]] double decayTowardOne(TimePoint now, TimePoint last_report, double admit_ratio) const;
+    void updateDownstream(Route* route, const Bottleneck& downstream) const;
     [[nodiscard]] Costs costsOf(const Route& route) const;
     [[nodiscard]] Bottleneck lowestAmong(TimePoint now, const Costs& costs) const;
     void updateAverage(double* average, double value, bool is_first) const;
--- a/src/decision/call_graph.cc
+++ b/src/decision/call_graph.cc
@@ -69,8 +69,8 @@
     return {};
 }
 
-CallGraph::RunNumber CallGraph::onRunBegan(TimePoint now, const std::string& route_name, const Lineage& lineage,
-                                           TimePoint* deadline) {
+CallGraph::RunId CallGraph::onRunBegan(TimePoint now, const std::string& route_name, const CallContext& call_context,
+                                       TimePoint* deadline) {
     decay(now);
     auto& route = routes_[route_name];
     ++route.since_sample;
@@ -84,10 +84,10 @@
         }
     }
     ++route.running;
-    route.sum.repeat_share += lineage.repeat_share;
-    route.sum.represents += lineage.represents;
+    route.sum.retry_probability += call_context.retry_probability;
+    route.sum.demand_weight += call_context.demand_weight;
     const auto id = ++last_id_;
-    auto& run = runs_[id] = {route_name, lineage, now, *deadline, true, {}};
+    auto& run = runs_[id] = {route_name, call_context, now, *deadline, true, {}};
     markDeadlineCollisions(&run);
     by_deadline_.emplace(*deadline, id);
     return id;
@@ -103,15 +103,15 @@
     }
 }
 
-void CallGraph::onRunEnded(TimePoint now, RunNumber id, bool is_complete) {
+void CallGraph::onRunEnded(TimePoint now, RunId id, bool is_complete) {
     const auto ended = runs_.extract(id);
     const auto& run = ended.mapped();
     const auto [begin, end] = by_deadline_.equal_range(run.deadline);
     by_deadline_.erase(std::find_if(begin, end, [&](const auto& entry) { return entry.second == id; }));
     auto& route = routes_[run.route];
     --route.running;
-    route.sum.repeat_share -= run.lineage.repeat_share;
-    route.sum.represents -= run.lineage.represents;
+    route.sum.retry_probability -= run.call_context.retry_probability;
+    route.sum.demand_weight -= run.call_context.demand_weight;
     if (route.running == 0) {
         route.sum = {0, 0};  // Removes accumulated rounding errors.
     }
@@ -151,7 +151,7 @@
     return is_unique ? &runs_.at(found->second) : nullptr;
 }
 
-Lineage CallGraph::onCall(TimePoint now, const std::string& callee, Duration timeout) {
+CallContext CallGraph::onCall(TimePoint now, const std::string& callee, Duration timeout) {
     decay(now);
     const bool is_shortened = usual_.isShortened(now, callee, timeout);
     callees_[callee] = usual_.usual(callee);
@@ -160,29 +160,29 @@
         return meanContext(callee);
     }
     run->calls_made[callee] += 1;
-    return run->lineage;
+    return run->call_context;
 }
 
 /// Mean over the runs in progress, weighted by the calls to `callee` that each makes.
-Lineage CallGraph::meanContext(const std::string& callee) const {
-    Lineage sum{0, 0};
+CallContext CallGraph::meanContext(const std::string& callee) const {
+    CallContext sum{0, 0};
     double weight = 0;
     for (const auto& [name, route] : routes_) {
         if (route.running > 0) {
             const double calls = callsPerRun(name, callee).value_or(1);
             weight += calls * route.running;
-            sum.repeat_share += calls * route.sum.repeat_share;
-            sum.represents += calls * route.sum.represents;
+            sum.retry_probability += calls * route.sum.retry_probability;
+            sum.demand_weight += calls * route.sum.demand_weight;
         }
     }
     if (weight <= 0) {
         return {};
     }
-    return {std::clamp(sum.repeat_share / weight, 0.0, 1.0), std::max(1.0, sum.represents / weight)};
+    return {std::clamp(sum.retry_probability / weight, 0.0, 1.0), std::max(1.0, sum.demand_weight / weight)};
 }
 
 /// Uses the latest failed call: older ones have more probably caused an earlier response.
-bool CallGraph::explainFailure(TimePoint now, TimePoint run_began) {
+bool CallGraph::attributeFailure(TimePoint now, TimePoint run_began) {
     while (!failed_calls_.empty() && now - failed_calls_.front() > knobs_.failure_ttl) {
         failed_calls_.pop_front();
     }
@@ -216,7 +216,7 @@
     return callsPerRun(route, callee).value_or(1) >= knobs_.min_calls;
 }
 
-double CallGraph::mostCalls(const std::string& route) const {
+double CallGraph::maxCallsPerRun(const std::string& route) const {
     double max_calls = 0;
     for (const auto& [callee, usual] : callees_) {
         const double calls = callsPerRun(route, callee).value_or(1);
--- a/src/decision/call_graph.h
+++ b/src/decision/call_graph.h
@@ -20,9 +20,9 @@
 namespace dewcrank::decision {
 
 /// What an internal call inherits from the request that it is made for.
-struct Lineage {
-    double repeat_share = 0;  ///< Probability that the request was a retry, from 0 to 1.
-    double represents = 1;    ///< Requests that arrived at entries per admitted one: at least 1.
+struct CallContext {
+    double retry_probability = 0;  ///< Probability that the request was a retry, from 0 to 1.
+    double demand_weight = 1;      ///< Requests that arrived at entries per admitted one: at least 1.
 };
 
 /// Constants of the estimate.
@@ -46,39 +46,39 @@
 /// calling every internal route once per run.
 class CallGraph {
 public:
-    using RunNumber = std::uint64_t;
+    using RunId = std::uint64_t;
 
     explicit CallGraph(CallGraphKnobs knobs) : knobs_(knobs) {}
 
     /// Registers a request that is about to be sent to the instance.
     /// @param deadline   shortened to the deadline to send to the instance if the run becomes a sample.
     /// @return the run's id, for `onRunEnded`.
-    RunNumber onRunBegan(TimePoint now, const std::string& route, const Lineage& lineage, TimePoint* deadline);
+    RunId onRunBegan(TimePoint now, const std::string& route, const CallContext& call_context, TimePoint* deadline);
     /// @param is_complete   the response was a success, so the run has made all of its calls.
-    void onRunEnded(TimePoint now, RunNumber id, bool is_complete);
+    void onRunEnded(TimePoint now, RunId id, bool is_complete);
     /// Counts a call that the instance makes to the route `callee`.
     /// @param timeout   of the call.
     /// @return the context of the run that makes the call if that is identified, else the mean over all runs in
     /// progress.
-    Lineage onCall(TimePoint now, const std::string& callee, Duration timeout);
+    CallContext onCall(TimePoint now, const std::string& callee, Duration timeout);
     /// Registers that a call of the instance has failed.
     void onCallFailed(TimePoint now) { failed_calls_.push_back(now); }
     /// Attributes a failure response of the instance to a failed call, which then explains no other failure.
     /// @param run_began   when the failed request was sent to the instance.
     /// @return true if a call has failed during the run and within `failure_ttl`.
-    bool explainFailure(TimePoint now, TimePoint run_began);
+    bool attributeFailure(TimePoint now, TimePoint run_began);
 
     /// @return calls to `callee` per run of `route`; nothing if there are too few samples.
     [[nodiscard]] std::optional<double> callsPerRun(const std::string& route, const std::string& callee) const;
     /// @return false if requests of `route` are known to make no calls to `callee`.
     [[nodiscard]] bool depends(const std::string& route, const std::string& callee) const;
     /// @return calls per run of `route` to the callee that it calls most; 0 if it makes none.
-    [[nodiscard]] double mostCalls(const std::string& route) const;
+    [[nodiscard]] double maxCallsPerRun(const std::string& route) const;
 
 private:
     struct Run {
         std::string route;
-        Lineage lineage;
+        CallContext call_context;
         TimePoint began{};
         TimePoint deadline{};                      ///< As sent to the instance.
         bool has_unique_deadline = true;           ///< No other run has had nearly the same deadline meanwhile.
@@ -96,7 +96,7 @@
         double mean_time = 0;  ///< Seconds; 0 before the first run has ended.
         std::uint32_t since_sample = 0;
         std::uint32_t running = 0;  ///< Invariant: the number of entries of `runs_` with this route.
-        Lineage sum{0, 0};          ///< Over the runs in progress.
+        CallContext sum{0, 0};      ///< Over the runs in progress.
         std::map<std::string, Samples> by_callee;
     };
 
@@ -107,13 +107,13 @@
     [[nodiscard]] TimePoint findUniqueDeadline(TimePoint deadline) const;
     void markDeadlineCollisions(Run* run);
     [[nodiscard]] Run* findRunByDeadline(TimePoint deadline);
-    [[nodiscard]] Lineage meanContext(const std::string& callee) const;
+    [[nodiscard]] CallContext meanContext(const std::string& callee) const;
     void addSample(const Run& run, bool is_complete);
 
     CallGraphKnobs knobs_;
-    RunNumber last_id_ = 0;
-    std::map<RunNumber, Run> runs_;                    ///< In progress.
-    std::multimap<TimePoint, RunNumber> by_deadline_;  ///< Ids of `runs_`.
+    RunId last_id_ = 0;
+    std::map<RunId, Run> runs_;                    ///< In progress.
+    std::multimap<TimePoint, RunId> by_deadline_;  ///< Ids of `runs_`.
     std::map<std::string, Route> routes_;
     std::map<std::string, Duration> callees_;  ///< Usual timeout of the calls, by route.
     UsualDeadlines usual_;
--- a/src/decision/instance_demand.cc
+++ b/src/decision/instance_demand.cc
@@ -29,15 +29,15 @@
     return *this;
 }
 
-double ServiceLoad::level() const {
+double ServiceLoad::admitRatio() const {
     if (demand <= capacity) {
         return 1;
     }
-    const double level = std::max(0.0, capacity) / std::max(demand, kMinSlots);
+    const double admit_ratio = std::max(0.0, capacity) / std::max(demand, kMinSlots);
     const double used = busy / std::max(capacity, kMinSlots);
     const double idle =
         std::clamp((kSaturatedUtilization - used) / (kSaturatedUtilization - kIdleUtilization), 0.0, 1.0);
-    return level + (1 - level) * idle;
+    return admit_ratio + (1 - admit_ratio) * idle;
 }
 
 InstanceDemand::Span& InstanceDemand::spanAt(TimePoint now) {
@@ -61,11 +61,11 @@
     }
 }
 
-void InstanceDemand::onArrival(TimePoint now, const std::string& route, double represents) {
+void InstanceDemand::onArrival(TimePoint now, const std::string& route, double demand_weight) {
     if (started_ == TimePoint{}) {
         started_ = now;
     }
-    spanAt(now).arrived_work += represents * toSeconds(timeOf(route));
+    spanAt(now).arrived_work += demand_weight * toSeconds(timeOf(route));
 }
 
 void InstanceDemand::onAnswered(const std::string& route, Duration time) {
--- a/src/decision/instance_demand.h
+++ b/src/decision/instance_demand.h
@@ -21,7 +21,7 @@
     ServiceLoad& operator-=(const ServiceLoad& other);
     /// @return the share of the requests to admit upstream, from 0 to 1. It is 1 while many slots are free: another
     /// bottleneck then limits the load of this service.
-    [[nodiscard]] double level() const;
+    [[nodiscard]] double admitRatio() const;
 };
 
 /// Constants of the measurement.
@@ -43,7 +43,7 @@
     explicit InstanceDemand(DemandKnobs knobs) : knobs_(knobs) {}
     /// Counts a request that was admitted or queued, or that was rejected by the last relay it was sent to.
     /// @param represents   its demand weight.
-    void onArrival(TimePoint now, const std::string& route, double represents);
+    void onArrival(TimePoint now, const std::string& route, double demand_weight);
     /// Registers a response. @param time that the request held a slot.
     void onAnswered(const std::string& route, Duration time);
     /// Registers a change of the number of slots in use to `running`.
--- a/src/decision/repeat_budget.cc
+++ b/src/decision/retry_budget.cc
@@ -1,4 +1,4 @@
-#include "src/decision/repeat_budget.h"
+#include "src/decision/retry_budget.h"
 
 #include <algorithm>
 
@@ -25,14 +25,14 @@
 }  // namespace
 
 /// The first step begins the span over the whole time since the start.
-RepeatBudget::RepeatBudget(RepeatBound limit, TimePoint started)
+RetryBudget::RetryBudget(RetryLimit limit, TimePoint started)
     : limit_(limit),
       window_steps_(std::max<std::int64_t>(1, stepsIn(limit.window))),
       start_step_(stepsIn(started.time_since_epoch())) {
     steps_.push_back({start_step_, 0, 0});
 }
 
-RepeatBudget::Step& RepeatBudget::currentStep(TimePoint now) {
+RetryBudget::Step& RetryBudget::currentStep(TimePoint now) {
     const auto number = stepsIn(now.time_since_epoch());
     if (steps_.empty() || steps_.back().number != number) {
         steps_.push_back({number, 0, 0});
@@ -43,20 +43,20 @@
     return steps_.back();
 }
 
-void RepeatBudget::onFirst(TimePoint now, double repeat_share) {
-    auto& present = currentStep(now);
-    present.first_attempts += 1 - repeat_share;
-    present.repeats += repeat_share;
-    totals_.requests += 1 - repeat_share;
-    totals_.inherited += repeat_share;
+void RetryBudget::onFirstAttempt(TimePoint now, double retry_probability) {
+    auto& step = currentStep(now);
+    step.first_attempts += 1 - retry_probability;
+    step.retries += retry_probability;
+    totals_.requests += 1 - retry_probability;
+    totals_.inherited += retry_probability;
 }
 
-double RepeatBudget::slackPerRelay(std::size_t relays) const {
+double RetryBudget::slackPerRelay(std::size_t relays) const {
     return limit_.slack / static_cast<double>(std::max<std::size_t>(1, relays));
 }
 
 /// Slack for the time from a step until now. A span that begins at the start of the relay has no initial slack.
-double RepeatBudget::slackSince(const Step& begin, std::size_t relays) const {
+double RetryBudget::slackSince(const Step& begin, std::size_t relays) const {
     const double initial = begin.number == start_step_ ? 0 : kInitialSlackShare;
     const auto steps = steps_.back().number - begin.number + 1;
     const double windows = static_cast<double>(steps) / static_cast<double>(window_steps_);
@@ -65,40 +65,40 @@
 
 /// True if one more retry fits into every span that ends now. No steps are carried into a span of a complete window:
 /// older ones have been dropped.
-bool RepeatBudget::hasCapacity(std::size_t relays, double slack_share) const {
-    double repeats = 1;
+bool RetryBudget::hasCapacity(std::size_t relays, double slack_share) const {
+    double retries = 1;
     double first_attempts = 0;
     auto carried = steps_.rbegin();
     for (auto it = steps_.rbegin(); it != steps_.rend(); ++it) {
-        repeats += it->repeats;
+        retries += it->retries;
         for (; carried != steps_.rend() && carried->number >= it->number - kCarryOverSteps; ++carried) {
             first_attempts += carried->first_attempts;
         }
         const double slack = slack_share * slackSince(*it, relays);
-        if (repeats > kUsableShare * (limit_.ratio * first_attempts + slack)) {
+        if (retries > kUsableShare * (limit_.ratio * first_attempts + slack)) {
             return false;
         }
     }
     return true;
 }
 
-bool RepeatBudget::tryRepeat(TimePoint now, std::size_t relays, double slack_share) {
-    auto& present = currentStep(now);
+bool RetryBudget::tryRetry(TimePoint now, std::size_t relays, double slack_share) {
+    auto& step = currentStep(now);
     if (!hasCapacity(relays, slack_share)) {
         ++totals_.denied;
         return false;
     }
-    present.repeats += 1;
+    step.retries += 1;
     ++totals_.granted;
     return true;
 }
 
-RepeatWindow RepeatBudget::window(TimePoint now, std::size_t relays) {
+RetryWindow RetryBudget::window(TimePoint now, std::size_t relays) {
     currentStep(now);
-    RepeatWindow window;
+    RetryWindow window;
     for (const auto& step : steps_) {
         window.requests += step.first_attempts;
-        window.repeats += step.repeats;
+        window.retries += step.retries;
     }
     window.allowed = limit_.ratio * window.requests + slackPerRelay(relays);
     return window;
--- a/src/decision/repeat_budget.h
+++ b/src/decision/retry_budget.h
@@ -10,14 +10,14 @@
 namespace dewcrank::decision {
 
 /// Limit of one service, over any window: retries <= ratio * first attempts + slack.
-struct RepeatBound {
+struct RetryLimit {
     double ratio = 0;  ///< Retries per first attempt.
     double slack = 0;  ///< Retries per window that need no first attempts.
     Duration window{};
 };
 
 /// Counts of one relay's budget since its start.
-struct RepeatTotals {
+struct RetryTotals {
     double requests = 0;        ///< First attempts.
     double inherited = 0;       ///< Expected retries among the calls of retried requests.
     std::uint64_t granted = 0;  ///< Retries that were admitted.
@@ -25,9 +25,9 @@
 };
 
 /// Counts over the last window.
-struct RepeatWindow {
+struct RetryWindow {
     double requests = 0;  ///< First attempts.
-    double repeats = 0;   ///< Retries, inherited and granted.
+    double retries = 0;   ///< Retries, inherited and granted.
     double allowed = 0;   ///< Retries within the relay's part of the limit, without the safety margin.
 };
 
@@ -39,40 +39,40 @@
 /// relay over its own last window does not ensure this: windows of different relays end at different times.
 ///
 /// A relay does not know what it has spent before a restart. It starts without slack and accrues it over time.
-class RepeatBudget {
+class RetryBudget {
 public:
     /// @param started   when the relay started.
-    RepeatBudget(RepeatBound limit, TimePoint started);
-    /// Counts a first attempt. @param repeat_share probability, from 0 to 1, that it is a call of a retried request;
-    /// to that part it counts as a retry.
-    void onFirst(TimePoint now, double repeat_share);
+    RetryBudget(RetryLimit limit, TimePoint started);
+    /// Counts a first attempt. @param retry_probability probability, from 0 to 1, that it is a call of a retried
+    /// request; to that part it counts as a retry.
+    void onFirstAttempt(TimePoint now, double retry_probability);
     /// Takes one retry from the budget.
     /// @param relays        number of relays that share the slack.
     /// @param slack_share   usable share, from 0 to 1, of this relay's part of the slack.
     /// @return false if the budget is exhausted.
-    bool tryRepeat(TimePoint now, std::size_t relays, double slack_share);
+    bool tryRetry(TimePoint now, std::size_t relays, double slack_share);
     /// @return the counts since the start.
-    [[nodiscard]] const RepeatTotals& totals() const { return totals_; }
-    /// @return the counts of the window that ends now. @param relays as for `tryRepeat`.
-    [[nodiscard]] RepeatWindow window(TimePoint now, std::size_t relays);
+    [[nodiscard]] const RetryTotals& totals() const { return totals_; }
+    /// @return the counts of the window that ends now. @param relays as for `tryRetry`.
+    [[nodiscard]] RetryWindow window(TimePoint now, std::size_t relays);
 
 private:
     /// Counts of one short interval of the clock.
     struct Step {
         std::int64_t number = 0;
         double first_attempts = 0;
-        double repeats = 0;
+        double retries = 0;
     };
     Step& currentStep(TimePoint now);
     [[nodiscard]] bool hasCapacity(std::size_t relays, double slack_share) const;
     [[nodiscard]] double slackSince(const Step& begin, std::size_t relays) const;
     [[nodiscard]] double slackPerRelay(std::size_t relays) const;
 
-    RepeatBound limit_;
+    RetryLimit limit_;
     std::int64_t window_steps_;  ///< At least one.
     std::int64_t start_step_;    ///< Number of the step in which the relay started.
     std::deque<Step> steps_;     ///< Of the last window, in order of time; steps without a request may be left out.
-    RepeatTotals totals_;
+    RetryTotals totals_;
 };
 
 }  // namespace dewcrank::decision
--- a/src/entry/access_check.cc
+++ b/src/entry/access_check.cc
@@ -56,7 +56,7 @@
     }
     if (!is_fresh) {
         access.refusal = Refusal{kHttpServiceUnavailable, "table-too-old", knobs.catch_up};
-    } else if (table.isBehind()) {
+    } else if (table.isStale()) {
         access.refusal = Refusal{kHttpServiceUnavailable, "table-behind", knobs.catch_up};
     } else {
         access.refusal = Refusal{kHttpUnauthorized, key ? "unknown-key" : "no-key", {}};
--- a/src/entry/call_intake.cc
+++ b/src/entry/call_intake.cc
@@ -18,7 +18,7 @@
     if (!services_.table.isKnown()) {
         return Refusal{kHttpServiceUnavailable, "not-ready", kNotReadyRetryAfter};
     }
-    if (route == nullptr && services_.table.isBehind()) {
+    if (route == nullptr && services_.table.isStale()) {
         return Refusal{kHttpServiceUnavailable, "table-behind", services_.access.catch_up};
     }
     if (route == nullptr) {
--- a/src/entry/entry_call.cc
+++ b/src/entry/entry_call.cc
@@ -95,7 +95,7 @@
     request.priority = plan_.priority;
     request.deadline = plan_.deadline - services_.knobs.relay_margin;
     request.longest_wait = share;
-    request.lineage = plan_.lineage;
+    request.call_context = plan_.call_context;
     return request;
 }
 
@@ -129,7 +129,7 @@
         services_.directory.onReached(relay_);
         services_.gossip.onTableVersionSeen(relay_, received.sender.table_version);
         if (received.sender.table_age) {
-            services_.lease.onPeer(sent_, *received.sender.table_age, received.sender.table_version,
+            services_.lease.onPeerResponse(sent_, *received.sender.table_age, received.sender.table_version,
                                    services_.table.version());
         }
         onResult(std::move(received.result));
--- a/src/entry/entry_call.h
+++ b/src/entry/entry_call.h
@@ -60,7 +60,7 @@
     std::uint32_t rank = 0;      ///< The same after that of its tenant, which goes first.
     TimePoint deadline{};
     Duration caller_deadline{};  ///< The time that the caller gives.
-    decision::Lineage lineage;   ///< Taken over from the run that it is a call of.
+    decision::CallContext call_context;   ///< Taken over from the run that it is a call of.
 };
 
 /// What calls use of their node. Outlives every call.
--- a/src/fleet/gossip.cc
+++ b/src/fleet/gossip.cc
@@ -268,7 +268,7 @@
         mergeAll(answer, nullptr);
         if (answer.has_table_age_us()) {
             const Duration age(static_cast<std::int64_t>(answer.table_age_us()));
-            lease_.onPeer(sent, age, answer.table_version(), table_.version());
+            lease_.onPeerResponse(sent, age, answer.table_version(), table_.version());
         }
     }
     if (is_answered && !is_its_own) {
@@ -358,7 +358,7 @@
         }
     }
     if (received.is_table_wanted() && received.table_version() < table_.version()) {
-        *reply.mutable_table() = table_.whole();
+        *reply.mutable_table() = table_.contents();
     }
     reply.set_is_digest_wanted(received.directory_hash() != 0 && received.directory_hash() != directory_.hash());
     if (table_.onVersionSeen(received.table_version())) {
--- a/src/policy/route_table.cc
+++ b/src/policy/route_table.cc
@@ -70,7 +70,7 @@
     return found == tenants_by_name_.end() ? nullptr : found->second;
 }
 
-bool RouteTable::namesService(const std::string& service) const {
+bool RouteTable::referencesService(const std::string& service) const {
     const auto is_named = [&](const auto& row) { return row.name() == service; };
     const auto is_part = [&](const wire::TrafficPart& part) { return part.service() == service; };
     return std::any_of(table_->services().begin(), table_->services().end(), is_named) ||
@@ -81,10 +81,10 @@
 
 bool RouteTable::onVersionSeen(std::uint64_t version) {
     newest_seen_ = std::max(newest_seen_, version);
-    return isBehind();
+    return isStale();
 }
 
-std::size_t TrafficDivider::next(const wire::Route& route) {
+std::size_t TrafficSplitter::next(const wire::Route& route) {
     position_ = std::fmod(position_ + kGoldenFraction, 1.0);
     const auto total = std::accumulate(route.parts().begin(), route.parts().end(), 0.0,
                                        [](double sum, const auto& part) { return sum + part.weight(); });
--- a/src/policy/route_table.h
+++ b/src/policy/route_table.h
@@ -46,17 +46,17 @@
     /// @return the tenant of that name; null if there is none.
     [[nodiscard]] const wire::Tenant* tenantNamed(const std::string& name) const;
     /// True if the service has a row of its own, or a route sends requests to it.
-    [[nodiscard]] bool namesService(const std::string& service) const;
+    [[nodiscard]] bool referencesService(const std::string& service) const;
     /// Registers the version of a peer's table. @return true if the local table is older than any version seen.
     bool onVersionSeen(std::uint64_t version);
     /// True while a newer version than the local one is known to exist.
-    [[nodiscard]] bool isBehind() const { return newest_seen_ > version(); }
+    [[nodiscard]] bool isStale() const { return newest_seen_ > version(); }
     /// @return the newest known version, local or at a peer.
     [[nodiscard]] std::uint64_t newestSeen() const { return std::max(newest_seen_, version()); }
     [[nodiscard]] std::uint64_t version() const { return table_->version(); }
     /// True once a table was adopted.
     [[nodiscard]] bool isKnown() const { return table_->version() > 0; }
-    [[nodiscard]] const wire::RouteTable& whole() const { return *table_; }
+    [[nodiscard]] const wire::RouteTable& contents() const { return *table_; }
 
     /// Emitted after each adoption.
     sigc::signal<void()>& signalAdopted() { return signal_adopted_; }
@@ -73,10 +73,10 @@
 
 /// Splits the requests of a route among its parts by weight. Uses a low-discrepancy (golden ratio) sequence, so that
 /// the weights hold closely over few requests too.
-class TrafficDivider {
+class TrafficSplitter {
 public:
     /// @param start   random in [0, 1), so that nodes do not choose in lockstep.
-    explicit TrafficDivider(double start) : position_(start) {}
+    explicit TrafficSplitter(double start) : position_(start) {}
     /// @return index of the part that the next request is sent to.
     std::size_t next(const wire::Route& route);
 
--- a/src/policy/table_columns.cc
+++ b/src/policy/table_columns.cc
@@ -162,7 +162,7 @@
         {"services", "a service, or services with weights: 'desk:90 browse:10'", "services that handle the requests",
          formatParts, parseParts},
         {"repeatable", "true or false",
-         "true: requests are idempotent and may be retried; false: each is sent to one instance once",
+         "true: requests are idempotent, so that a failed one may be run again at another instance",
          [](const Route& it) { return std::string(it.is_repeatable() ? "true" : "false"); },
          [](Route* it, const std::string& value) {
              it->set_is_repeatable(value == "true");
--- a/src/policy/table_lease.cc
+++ b/src/policy/table_lease.cc
@@ -8,7 +8,7 @@
     confirmed_ = std::max(confirmed_.value_or(sent), sent);
 }
 
-void TableLease::onPeer(TimePoint sent, Duration age, std::uint64_t peer_version, std::uint64_t own_version) {
+void TableLease::onPeerResponse(TimePoint sent, Duration age, std::uint64_t peer_version, std::uint64_t own_version) {
     if (own_version >= peer_version && age >= Duration::zero()) {
         onRead(sent - age);
     }
--- a/src/policy/table_lease.h
+++ b/src/policy/table_lease.h
@@ -37,7 +37,7 @@
     /// @param age            of the peer's confirmation at its response.
     /// @param peer_version   of the peer's table.
     /// @param own_version    of the local table; an older one is not confirmed.
-    void onPeer(TimePoint sent, Duration age, std::uint64_t peer_version, std::uint64_t own_version);
+    void onPeerResponse(TimePoint sent, Duration age, std::uint64_t peer_version, std::uint64_t own_version);
     /// @return the time since the last confirmation; nothing if there was none.
     [[nodiscard]] std::optional<Duration> age(TimePoint now) const;
     /// True if keys are accepted only under a valid lease.
--- a/src/quota/shard_keeper.cc
+++ b/src/quota/shard_keeper.cc
@@ -43,7 +43,7 @@
 
 /// Only a table with limits needs owners.
 bool ShardKeeper::isNeeded() const {
-    const auto& tenants = table_.whole().tenants();
+    const auto& tenants = table_.contents().tenants();
     return std::any_of(tenants.begin(), tenants.end(), [](const auto& it) { return it.rate_per_s() > 0; });
 }
 
--- a/src/relay/caller_census.cc
+++ b/src/relay/caller_census.cc
@@ -35,7 +35,7 @@
     std::erase_if(counts_, [](const auto& entry) { return entry.second.empty(); });
 }
 
-bool CallerCensus::isInner(const std::string& route) const {
+bool CallerCensus::isInternal(const std::string& route) const {
     const auto found = counts_.find(route);
     if (found == counts_.end()) {
         return false;
@@ -50,7 +50,7 @@
 }
 
 std::optional<bool> CallerCensus::verdict(const std::string& route) const {
-    if (isInner(route)) {
+    if (isInternal(route)) {
         return true;
     }
     double total = 0;
--- a/src/relay/caller_census.h
+++ b/src/relay/caller_census.h
@@ -22,7 +22,7 @@
     CallerCensus(Clock& clock, ShareOf share_of) : clock_(clock), share_of_(std::move(share_of)) {}
     void onRequest(const std::string& route, const std::string& caller_service);
     /// True if callers spread over all machines would hardly ever give what was counted.
-    [[nodiscard]] bool isInner(const std::string& route) const;
+    [[nodiscard]] bool isInternal(const std::string& route) const;
     /// The same; nothing while too few requests were counted to tell.
     [[nodiscard]] std::optional<bool> verdict(const std::string& route) const;
 
--- a/src/relay/relay_message.h
+++ b/src/relay/relay_message.h
@@ -35,7 +35,7 @@
     std::uint32_t priority = 0;   ///< 0 is the most urgent.
     TimePoint deadline{};         ///< The instance must have answered by then.
     Duration longest_wait{};      ///< In the queue; inner calls may wait longer.
-    decision::Lineage lineage;    ///< Taken over from the run that it is a call of.
+    decision::CallContext call_context;    ///< Taken over from the run that it is a call of.
 };
 
 /// How a relayed request ended.
--- a/src/relay/relay_repeats.cc
+++ b/src/relay/relay_repeats.cc
@@ -18,19 +18,19 @@
 
 }  // namespace
 
-RelayRepeats::RelayRepeats(Clock& clock, const decision::CallGraph& graph, decision::RepeatBound bound)
+RelayRepeats::RelayRepeats(Clock& clock, const decision::CallGraph& graph, decision::RetryLimit bound)
     : clock_(clock), graph_(graph), budget_(bound, clock.now()), relay_count_(bound.window, 1) {}
 
 void RelayRepeats::count(const RelayRequest& request) {
     if (request.is_counted) {
         counted_before_ += request.is_repeat ? 0 : 1;
     } else if (!request.is_repeat) {
-        budget_.onFirst(clock_.now(), request.lineage.repeat_share);
+        budget_.onFirstAttempt(clock_.now(), request.call_context.retry_probability);
     }
 }
 
 bool RelayRepeats::mayRepeat(const RelayRequest& request) {
-    return !request.is_repeat || request.is_repeat_paid || tryRepeat(request.route);
+    return !request.is_repeat || request.is_repeat_paid || tryRetry(request.route);
 }
 
 bool RelayRepeats::paysRepeat(const RelayRequest& request, const RelayResult& result) {
@@ -38,17 +38,17 @@
                             (result.answer.status == kHttpInternalServerError && !result.failed_below);
     const bool is_repeated = has_failed && result.was_offered && result.reason != RelayReason::kQuarantined &&
                              isRepeated(request.failure_plan, result.outcome);
-    return is_repeated && tryRepeat(request.route);
+    return is_repeated && tryRetry(request.route);
 }
 
-bool RelayRepeats::tryRepeat(const std::string& route) {
-    return budget_.tryRepeat(clock_.now(), sharers(), slackShareOf(route));
+bool RelayRepeats::tryRetry(const std::string& route) {
+    return budget_.tryRetry(clock_.now(), sharers(), slackShareOf(route));
 }
 
 /// Each call of a repeated run is a repeat at the service that it goes to, where it cannot be denied. The ratio
 /// covers them there as well; the slack above is divided so that it fits into the slack below.
 double RelayRepeats::slackShareOf(const std::string& route) const {
-    const double calls = graph_.mostCalls(route);
+    const double calls = graph_.maxCallsPerRun(route);
     return calls > 0 ? 1 / (kCallersOfService * std::max(1.0, calls)) : 1;
 }
 
--- a/src/relay/relay_repeats.h
+++ b/src/relay/relay_repeats.h
@@ -8,7 +8,7 @@
 
 #include "src/base/recent_maximum.h"
 #include "src/decision/call_graph.h"
-#include "src/decision/repeat_budget.h"
+#include "src/decision/retry_budget.h"
 #include "src/ports/clock.h"
 #include "src/relay/relay_message.h"
 
@@ -17,7 +17,7 @@
 class RelayRepeats {
 public:
     /// @param graph of the calls that the instance's runs make.
-    RelayRepeats(Clock& clock, const decision::CallGraph& graph, decision::RepeatBound bound);
+    RelayRepeats(Clock& clock, const decision::CallGraph& graph, decision::RetryLimit bound);
 
     /// @param count of relays that take requests of the service. The slack is shared by as many as there were at most
     /// in the last window: those that have gone may have spent their parts of it, and those that are stopping still do.
@@ -32,20 +32,20 @@
     /// while the others' parts are spent.
     bool paysRepeat(const RelayRequest& request, const RelayResult& result);
 
-    [[nodiscard]] const decision::RepeatTotals& totals() const { return budget_.totals(); }
-    [[nodiscard]] decision::RepeatWindow window() { return budget_.window(clock_.now(), sharers()); }
+    [[nodiscard]] const decision::RetryTotals& totals() const { return budget_.totals(); }
+    [[nodiscard]] decision::RetryWindow window() { return budget_.window(clock_.now(), sharers()); }
     /// Requests that came here after another relay had counted them.
     [[nodiscard]] std::uint64_t countedBefore() const { return counted_before_; }
     /// Relays that share the slack.
     [[nodiscard]] std::size_t sharers() { return relay_count_.at(clock_.now()); }
 
 private:
-    bool tryRepeat(const std::string& route);
+    bool tryRetry(const std::string& route);
     [[nodiscard]] double slackShareOf(const std::string& route) const;
 
     Clock& clock_;
     const decision::CallGraph& graph_;
-    decision::RepeatBudget budget_;
+    decision::RetryBudget budget_;
     RecentMaximum relay_count_;
     std::uint64_t counted_before_ = 0;
 };
--- a/src/relay/relay_service.cc
+++ b/src/relay/relay_service.cc
@@ -141,9 +141,9 @@
     const auto remaining = request->deadline - now;
     const bool is_shortened = deadlines_.isShortened(now, request->route, remaining);
     census_.onRequest(request->route, std::string(request->request.headers.get(names_.caller_service)));
-    const bool is_inner = census_.isInner(request->route);
-    const bool is_continuing = is_inner && is_shortened;
-    if (is_inner) {
+    const bool is_internal = census_.isInternal(request->route);
+    const bool is_continuing = is_internal && is_shortened;
+    if (is_internal) {
         const auto wait = std::chrono::duration_cast<Duration>(remaining * knobs_.inner_wait_share);
         request->longest_wait = std::max(request->longest_wait, wait);
     }
@@ -163,7 +163,7 @@
     // What another relay may still take is not this instance's demand.
     const bool is_taken = running.ticket != 0 || running.is_let_in;
     if (is_taken || request.is_last_choice) {
-        demand_.onArrival(now, request.route, request.lineage.represents);
+        demand_.onArrival(now, request.route, request.call_context.demand_weight);
     }
 }
 
@@ -207,10 +207,10 @@
     auto request = std::move(running.request.request);
     running.sent = clock_.now();
     running.life = instance::lifeName(instance_.record());
-    auto lineage = running.request.lineage;
-    lineage.repeat_share = running.request.is_repeat ? 1 : lineage.repeat_share;
+    auto call_context = running.request.call_context;
+    call_context.retry_probability = running.request.is_repeat ? 1 : call_context.retry_probability;
     auto deadline = running.request.deadline;
-    running.run = call_graph_.onRunBegan(running.sent, running.request.route, lineage, &deadline);
+    running.run = call_graph_.onRunBegan(running.sent, running.request.route, call_context, &deadline);
     const auto remaining = deadline - running.sent;
     runs_.onSent(number, {running.id, running.request.route, running.life, running.fingerprint, running.is_trial});
     request.headers.set(names_.expected_instance, running.request.instance);
@@ -354,7 +354,7 @@
     removeHopByHopHeaders(answer.headers);
     judged.outcome = RelayOutcome::kAnswered;
     judged.failed_below =
-        answer.status == kHttpInternalServerError && call_graph_.explainFailure(clock_.now(), running.sent);
+        answer.status == kHttpInternalServerError && call_graph_.attributeFailure(clock_.now(), running.sent);
     judged.answer = std::move(answer);
     return judged;
 }
@@ -382,7 +382,7 @@
     result.has_load = true;
     result.report.load = serviceLoad();
     result.report.time = demand_.timeOf(running.request.route);
-    result.report.is_inner = census_.verdict(running.request.route);
+    result.report.is_internal = census_.verdict(running.request.route);
     running.callback(std::move(result));
 }
 
--- a/src/relay/relay_service.h
+++ b/src/relay/relay_service.h
@@ -37,7 +37,7 @@
 /// Constants of a relay.
 struct RelayKnobs {
     QueueKnobs queue;
-    decision::RepeatBound repeats;
+    decision::RetryLimit repeats;
     /// Less time than this left: the request is not sent.
     Duration least_remaining = 5ms;
     /// Inner calls may wait for this part of the time that they have left: what was done for
@@ -92,8 +92,8 @@
     void setRelayCount(std::size_t count) { repeats_.setRelayCount(count); }
     [[nodiscard]] std::size_t inFlight() const { return running_.size(); }
     [[nodiscard]] QueueLoad load() const { return queue_.load(); }
-    [[nodiscard]] const decision::RepeatTotals& repeatTotals() const { return repeats_.totals(); }
-    [[nodiscard]] decision::RepeatWindow repeatWindow() { return repeats_.window(); }
+    [[nodiscard]] const decision::RetryTotals& repeatTotals() const { return repeats_.totals(); }
+    [[nodiscard]] decision::RetryWindow repeatWindow() { return repeats_.window(); }
     /// Requests that came here after another relay had counted them.
     [[nodiscard]] std::uint64_t countedBefore() const { return repeats_.countedBefore(); }
     [[nodiscard]] std::size_t repeatSharers() { return repeats_.sharers(); }
@@ -113,7 +113,7 @@
         bool is_trial = false;  ///< It is the one suspect that may run.
         bool is_let_in = false;
         TimePoint sent{};
-        decision::CallGraph::RunNumber run = 0;  ///< 0 before it was sent.
+        decision::CallGraph::RunId run = 0;  ///< 0 before it was sent.
         AttemptHandle attempt;
         TimerHandle refusal;
     };
--- a/src/relay/relay_wire.cc
+++ b/src/relay/relay_wire.cc
@@ -59,23 +59,23 @@
 }
 
 void write(FieldWriter* fields, const decision::RouteReport& report) {
-    fields->add(report.is_inner ? (*report.is_inner ? kInner : kNotInner) : kNotKnown);
+    fields->add(report.is_internal ? (*report.is_internal ? kInner : kNotInner) : kNotKnown);
     fields->add(inThousandths(report.load.demand)).add(inThousandths(report.load.capacity));
     fields->add(inThousandths(report.load.busy)).add(report.time.count());
-    fields->add(report.below.service).add(inThousandths(report.below.level)).add(report.below.cost.count());
+    fields->add(report.downstream.service).add(inThousandths(report.downstream.admit_ratio)).add(report.downstream.cost.count());
 }
 
 decision::RouteReport readReport(FieldReader* fields) {
     decision::RouteReport report;
     const auto inner = fields->number();
-    report.is_inner = inner == kNotKnown ? std::nullopt : std::optional(inner == kInner);
+    report.is_internal = inner == kNotKnown ? std::nullopt : std::optional(inner == kInner);
     report.load.demand = fromThousandths(fields->number());
     report.load.capacity = fromThousandths(fields->number());
     report.load.busy = fromThousandths(fields->number());
     report.time = Duration(fields->number());
-    report.below.service = fields->text();
-    report.below.level = fromThousandths(fields->number());
-    report.below.cost = Duration(fields->number());
+    report.downstream.service = fields->text();
+    report.downstream.admit_ratio = fromThousandths(fields->number());
+    report.downstream.cost = Duration(fields->number());
     return report;
 }
 
@@ -98,7 +98,7 @@
     fields.add(request.instance).add(request.route).add(request.priority);
     fields.add(request.is_repeat ? 1 : 0).add(request.is_last_choice ? 1 : 0);
     fields.add((request.deadline - now).count()).add(request.longest_wait.count());
-    fields.add(inThousandths(request.lineage.repeat_share)).add(inThousandths(request.lineage.represents));
+    fields.add(inThousandths(request.call_context.retry_probability)).add(inThousandths(request.call_context.demand_weight));
     fields.add(request.is_counted ? 1 : 0).add(request.is_suspect ? 1 : 0);
     fields.add(static_cast<std::int64_t>(request.failure_plan)).add(request.is_repeat_paid ? 1 : 0);
     fields.add(request.is_only_choice ? 1 : 0);
@@ -122,8 +122,8 @@
     relayed.is_last_choice = fields.number() != 0;
     relayed.deadline = now + Duration(fields.number());
     relayed.longest_wait = Duration(fields.number());
-    relayed.lineage.repeat_share = std::clamp(fromThousandths(fields.number()), 0.0, 1.0);
-    relayed.lineage.represents = std::max(1.0, fromThousandths(fields.number()));
+    relayed.call_context.retry_probability = std::clamp(fromThousandths(fields.number()), 0.0, 1.0);
+    relayed.call_context.demand_weight = std::max(1.0, fromThousandths(fields.number()));
     relayed.is_counted = fields.number() != 0;
     relayed.is_suspect = fields.number() != 0;
     relayed.failure_plan = failurePlanOf(fields.number());
--- a/src/sidecar/load_log.cc
+++ b/src/sidecar/load_log.cc
@@ -12,8 +12,8 @@
 }  // namespace
 
 LoadLog::LoadLog(Clock& clock, EventLog& log, const std::string& service, relay::RelayService& relay,
-                 const decision::BottleneckView& bottlenecks, const decision::RepeatBound& repeats)
-    : clock_(clock), log_(log), service_(service), relay_(relay), bottlenecks_(bottlenecks), bound_(repeats) {}
+                 const decision::BottleneckView& bottlenecks, const decision::RetryLimit& retries)
+    : clock_(clock), log_(log), service_(service), relay_(relay), bottlenecks_(bottlenecks), bound_(retries) {}
 
 /// Once a second, while the instance is pressed or callers are refused.
 void LoadLog::write() {
@@ -21,8 +21,8 @@
     writeRepeats();
     const auto load = relay_.load();
     const auto own = relay_.serviceLoad();
-    const auto least = bottlenecks_.leastOfAll(clock_.now());
-    if (own.demand < kLoggedDemand * own.capacity && least.level >= 1) {
+    const auto least = bottlenecks_.worstBottleneck(clock_.now());
+    if (own.demand < kLoggedDemand * own.capacity && least.admit_ratio >= 1) {
         return;
     }
     log_.write(Event("load")
@@ -32,8 +32,8 @@
                    .with("limit", load.limit)
                    .with("demand", own.demand)
                    .with("busy", own.busy)
-                   .with("level", own.level())
-                   .with("least_level", least.level)
+                   .with("level", own.admitRatio())
+                   .with("least_level", least.admit_ratio)
                    .with("bottleneck", least.service));
 }
 
@@ -55,7 +55,7 @@
                    .with("granted", now.granted - before.granted)
                    .with("denied", now.denied - before.denied)
                    .with("window_requests", window.requests)
-                   .with("window_repeats", window.repeats)
+                   .with("window_repeats", window.retries)
                    .with("window_allowed", window.allowed)
                    .with("relays", relay_.repeatSharers())
                    .with("ratio", bound_.ratio)
--- a/src/sidecar/load_log.h
+++ b/src/sidecar/load_log.h
@@ -16,7 +16,7 @@
 class LoadLog {
 public:
     LoadLog(Clock& clock, EventLog& log, const std::string& service, relay::RelayService& relay,
-            const decision::BottleneckView& bottlenecks, const decision::RepeatBound& repeats);
+            const decision::BottleneckView& bottlenecks, const decision::RetryLimit& retries);
     void start() { write(); }
 
 private:
@@ -28,8 +28,8 @@
     const std::string& service_;
     relay::RelayService& relay_;
     const decision::BottleneckView& bottlenecks_;
-    const decision::RepeatBound& bound_;
-    decision::RepeatTotals last_;  ///< As of the last line on repeats.
+    const decision::RetryLimit& bound_;
+    decision::RetryTotals last_;  ///< As of the last line on repeats.
     std::uint64_t last_counted_before_ = 0;
     TimerHandle timer_;
 };
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -112,7 +112,7 @@
 }
 
 decision::Bottleneck SidecarNode::leastBottleneck() const {
-    return bottlenecks_.leastOfAll(ports_.clock.now());
+    return bottlenecks_.worstBottleneck(ports_.clock.now());
 }
 
 bool SidecarNode::isReady() const {
@@ -135,7 +135,7 @@
 
 /// An instance whose service the table does not name is probed where it was before.
 void SidecarNode::setProbePath() {
-    for (const auto& service : table_.whole().services()) {
+    for (const auto& service : table_.contents().services()) {
         if (service.name() == settings_.service && !service.health_path().empty()) {
             relay_.setProbePath(service.health_path());
         }
@@ -143,7 +143,7 @@
 }
 
 bool SidecarNode::onHeartbeat(const instance::Heartbeat& heartbeat) {
-    if (heartbeat.service != settings_.service && !table_.namesService(heartbeat.service)) {
+    if (heartbeat.service != settings_.service && !table_.referencesService(heartbeat.service)) {
         return false;
     }
     ++counters_.heartbeats;
@@ -265,12 +265,12 @@
     const auto now = ports_.clock.now();
     const auto& route = plan->route->name();
     const bool is_repeat = deadlines_.isShortened(now, route, plan->caller_deadline);
-    if (bottlenecks_.isInner(route)) {
-        plan->lineage = relay_.callGraph().onCall(now, route, plan->caller_deadline);
+    if (bottlenecks_.isInternal(route)) {
+        plan->call_context = relay_.callGraph().onCall(now, route, plan->caller_deadline);
         return true;
     }
-    const auto bottleneck = bottlenecks_.least(now, route);
-    plan->lineage.represents = 1 / std::max(kLeastLevel, bottleneck.level);
+    const auto bottleneck = bottlenecks_.bottleneckOf(now, route);
+    plan->call_context.demand_weight = 1 / std::max(kLeastLevel, bottleneck.admit_ratio);
     return admission_.admits(now, bottleneck, plan->rank, is_repeat);
 }
 
@@ -281,14 +281,14 @@
 }
 
 bool SidecarNode::isOverloaded(const entry::EntryPlan& plan) const {
-    return bottlenecks_.least(ports_.clock.now(), plan.route->name()).level < decision::kUnloadedLevel;
+    return bottlenecks_.bottleneckOf(ports_.clock.now(), plan.route->name()).admit_ratio < decision::kMinNormalAdmitRatio;
 }
 
 void SidecarNode::onRelayResult(const entry::EntryPlan& plan, const std::string& relay,
                                 const relay::RelayResult& result) {
     auto report = result.report;
     if (relay == settings_.name) {
-        report.below = bottlenecks_.leastBelow(ports_.clock.now(), plan.route->name(), relay_.callGraph());
+        report.downstream = bottlenecks_.bottleneckOfCalls(ports_.clock.now(), plan.route->name(), relay_.callGraph());
     }
     bottlenecks_.onReport(ports_.clock.now(), plan.route->name(), plan.service, relay, report);
 }
@@ -309,7 +309,7 @@
 /// The call that has just ended is still on the stack: it is destroyed from a timer.
 void SidecarNode::onCallEnded(CallNumber number, const entry::EntryReport& report) {
     signal_call_ended_.emit(report);
-    if (!isSuccess(report.status) && bottlenecks_.isInner(report.route)) {
+    if (!isSuccess(report.status) && bottlenecks_.isInternal(report.route)) {
         relay_.callGraph().onCallFailed(ports_.clock.now());
     }
     if (const auto spent = spent_.extract(number); !spent.empty() && report.end == entry::EntryEnd::kRefused) {
@@ -354,7 +354,7 @@
     relayed_[number] = relay_.start(std::move(request), [this, number, id, route, reply](relay::RelayResult result) {
         relayed_.erase(number);
         logRelayed(id, result);
-        result.report.below = bottlenecks_.leastBelow(ports_.clock.now(), route, relay_.callGraph());
+        result.report.downstream = bottlenecks_.bottleneckOfCalls(ports_.clock.now(), route, relay_.callGraph());
         reply(relay::toHttp(std::move(result), {settings_.name, table_.version(), tableAge()}));
     });
     return number;
@@ -373,7 +373,7 @@
                          .with("running", result.load.running)
                          .with("waiting", result.load.waiting)
                          .with("limit", result.load.limit)
-                         .with("level", result.report.load.level()));
+                         .with("level", result.report.load.admitRatio()));
 }
 
 void SidecarNode::callerLeft(CallNumber number) {
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -108,7 +108,7 @@
     [[nodiscard]] std::uint64_t storeEra() const { return gossip_.storeEra(); }
     /// How long ago the table was known to be the newest; nothing if it never was.
     [[nodiscard]] std::optional<Duration> tableAge() const { return lease_.age(ports_.clock.now()); }
-    [[nodiscard]] decision::RepeatWindow repeatWindow() { return relay_.repeatWindow(); }
+    [[nodiscard]] decision::RetryWindow repeatWindow() { return relay_.repeatWindow(); }
 
 private:
     [[nodiscard]] static wire::NodeRecord firstRecord(const Settings& settings);
@@ -154,7 +154,7 @@
     entry::CallIntake intake_;
     LoadLog load_log_;
     decision::UsualDeadlines deadlines_;
-    std::map<std::string, policy::TrafficDivider> dividers_;  ///< By route.
+    std::map<std::string, policy::TrafficSplitter> dividers_;  ///< By route.
     CallNumber last_call_ = 0;
     std::map<CallNumber, std::unique_ptr<entry::EntryCall>> calls_;
     /// What a call of calls_ has taken from its tenant's quota.
--- a/tests/soak/checks.h
+++ b/tests/soak/checks.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "src/decision/repeat_budget.h"
+#include "src/decision/retry_budget.h"
 #include "tests/soak/observations.h"
 
 namespace dewcrank::soak {
@@ -19,7 +19,7 @@
 
 /// What the promises with a bound are judged by.
 struct CheckBounds {
-    decision::RepeatBound repeats;   ///< Of each service.
+    decision::RetryLimit repeats;   ///< Of each service.
     Duration drain = 2500ms;         ///< After its acknowledgement nothing arrives any more.
     Duration answer_slack = 1500ms;  ///< After a caller's deadline, for an answer.
     Duration unread_slack = 200ms;   ///< A connection closed within it may not have been read.
--- a/tests/soak/fleet.h
+++ b/tests/soak/fleet.h
@@ -13,7 +13,7 @@
 #include "src/adapters/event_loop.h"
 #include "src/adapters/http_client.h"
 #include "src/adapters/seeded_random.h"
-#include "src/decision/repeat_budget.h"
+#include "src/decision/retry_budget.h"
 #include "tests/soak/fault_proxy.h"
 #include "tests/soak/observations.h"
 #include "tests/standins/instance.h"
@@ -22,7 +22,7 @@
 namespace dewcrank::soak {
 
 /// What the nodes are told to keep repeats within, for each service.
-inline constexpr decision::RepeatBound kRepeats{0.2, 40, 10s};
+inline constexpr decision::RetryLimit kRepeats{0.2, 40, 10s};
 
 /// One node, what is beside it, and the links that lead to and from it.
 struct FleetNode {
--- a/tests/unit/decision/admission_test.cc
+++ b/tests/unit/decision/admission_test.cc
@@ -15,16 +15,17 @@
     /// Sends requests of three priorities, each equally often, for two seconds.
     /// @param client_retries   sent besides each three requests.
     /// @return the admitted share by priority; of client retries by `kClientRetry`.
-    std::map<std::uint32_t, double> sharesAt(double level, int client_retries) {
+    std::map<std::uint32_t, double> sharesAt(double admit_ratio, int client_retries) {
         std::map<std::uint32_t, int> admitted;
         constexpr int kRounds = 2000;
         for (int round = 0; round < kRounds; ++round) {
             for (const std::uint32_t priority : {0U, 1U, 2U}) {
                 admitted[priority] +=
-                    admission.admits(time.clock.now(), {"leaf", level, 40ms}, priority, false) ? 1 : 0;
+                    admission.admits(time.clock.now(), {"leaf", admit_ratio, 40ms}, priority, false) ? 1 : 0;
             }
             for (int retry = 0; retry < client_retries; ++retry) {
-                admitted[kClientRetry] += admission.admits(time.clock.now(), {"leaf", level, 40ms}, 0, true) ? 1 : 0;
+                admitted[kClientRetry] +=
+                    admission.admits(time.clock.now(), {"leaf", admit_ratio, 40ms}, 0, true) ? 1 : 0;
             }
             time.advance(1ms);
         }
--- a/tests/unit/decision/bottleneck_view_test.cc
+++ b/tests/unit/decision/bottleneck_view_test.cc
@@ -26,11 +26,13 @@
         }
     }
     void report(const std::string& route, const std::string& relay, const decision::ServiceLoad& load, Duration cost,
-                const decision::Bottleneck& below = {}) {
-        view.onReport(time.clock.now(), route, "desk", relay, {load, cost, below, route == "inner"});
+                const decision::Bottleneck& downstream = {}) {
+        view.onReport(time.clock.now(), route, "desk", relay, {load, cost, downstream, route == "inner"});
+    }
+    decision::Bottleneck bottleneckOf(const std::string& route) { return view.bottleneckOf(time.clock.now(), route); }
+    decision::Bottleneck bottleneckOfCalls(const std::string& route) {
+        return view.bottleneckOfCalls(time.clock.now(), route, graph);
     }
-    decision::Bottleneck least(const std::string& route) { return view.least(time.clock.now(), route); }
-    decision::Bottleneck below(const std::string& route) { return view.leastBelow(time.clock.now(), route, graph); }
 
     tests::VirtualTime time;
     decision::CallGraph graph{{}};
@@ -42,9 +44,9 @@
 BOOST_FIXTURE_TEST_SUITE(unit_decision_bottleneck_view, ViewFixture)
 
 BOOST_AUTO_TEST_CASE(nothing_is_known_before_the_first_report) {
-    BOOST_TEST(least("any").service.empty());
-    BOOST_TEST(least("any").level == 1);
-    BOOST_TEST(!view.isInner("any"));
+    BOOST_TEST(bottleneckOf("any").service.empty());
+    BOOST_TEST(bottleneckOf("any").admit_ratio == 1);
+    BOOST_TEST(!view.isInternal("any"));
 }
 
 /// One overloaded relay lowers the ratio only by its part of the load.
@@ -52,29 +54,29 @@
     report("order", "n1", {10, 20, 10}, 50ms);
     report("order", "n2", {10, 20, 10}, 50ms);
     report("order", "n3", {60, 20, 20}, 50ms);
-    BOOST_TEST(least("order").level > 0.7);
+    BOOST_TEST(bottleneckOf("order").admit_ratio > 0.7);
     report("order", "n1", {50, 20, 20}, 50ms);
-    BOOST_TEST(least("order").level == 0.5);
-    BOOST_TEST(least("order").service == "desk");
-    BOOST_TEST((least("order").cost == 50ms));
+    BOOST_TEST(bottleneckOf("order").admit_ratio == 0.5);
+    BOOST_TEST(bottleneckOf("order").service == "desk");
+    BOOST_TEST((bottleneckOf("order").cost == 50ms));
 }
 
 BOOST_AUTO_TEST_CASE(just_the_routes_that_make_a_call_share_its_bottleneck) {
     learnCalls();
     report("inner", "n1", {50, 20, 20}, 30ms);
-    BOOST_TEST(below("calling").service == "desk");
-    BOOST_TEST(below("calling").level == 0.4);
-    BOOST_TEST((below("calling").cost == 60ms));
-    BOOST_TEST(below("plain").service.empty());
+    BOOST_TEST(bottleneckOfCalls("calling").service == "desk");
+    BOOST_TEST(bottleneckOfCalls("calling").admit_ratio == 0.4);
+    BOOST_TEST((bottleneckOfCalls("calling").cost == 60ms));
+    BOOST_TEST(bottleneckOfCalls("plain").service.empty());
 }
 
 BOOST_AUTO_TEST_CASE(the_lowest_ratio_counts_at_any_depth) {
     report("order", "n1", {10, 20, 10}, 50ms, {"leaf", 0.3, 88ms});
-    BOOST_TEST(least("order").service == "leaf");
-    BOOST_TEST(std::abs(least("order").level - 0.3) < 1e-6);
-    BOOST_TEST((least("order").cost == 88ms));
+    BOOST_TEST(bottleneckOf("order").service == "leaf");
+    BOOST_TEST(std::abs(bottleneckOf("order").admit_ratio - 0.3) < 1e-6);
+    BOOST_TEST((bottleneckOf("order").cost == 88ms));
     report("other", "n1", {10, 20, 10}, 50ms, {"leaf", 0.8, 88ms});  // The same service, reported on another route.
-    BOOST_TEST(std::abs(least("order").level - 0.4) < 1e-6);
+    BOOST_TEST(std::abs(bottleneckOf("order").admit_ratio - 0.4) < 1e-6);
 }
 
 /// A relay that has just started does not know which calls its instance makes, and reports too many.
@@ -87,8 +89,8 @@
             report("order", relay, {10, 20, 10}, 50ms, {"leaf", 0.3, 88ms});
         }
     }
-    BOOST_TEST(least("pack").level == 1);
-    BOOST_TEST(std::abs(least("order").level - 0.3) < 1e-6);
+    BOOST_TEST(bottleneckOf("pack").admit_ratio == 1);
+    BOOST_TEST(std::abs(bottleneckOf("order").admit_ratio - 0.3) < 1e-6);
 }
 
 /// Guards against a ratio that stays low after an overload, when the node calls only the relay of its own zone.
@@ -99,7 +101,7 @@
         report("order", "n3", {10, 20, 10}, 50ms);
         time.advance(100ms);
     }
-    BOOST_TEST(least("order").level == 1);
+    BOOST_TEST(bottleneckOf("order").admit_ratio == 1);
 }
 
 /// Guards against an entry that goes on rejecting after an overload: it admits little, so it receives few reports.
@@ -110,7 +112,7 @@
     }
     time.advance(300ms);
     report("order", "n1", {10, 20, 10}, 50ms, {"leaf", 1.0, 88ms});
-    BOOST_TEST(least("order").level > 0.95);
+    BOOST_TEST(bottleneckOf("order").admit_ratio > 0.95);
 }
 
 /// Each report is the estimate of one node.
@@ -119,15 +121,15 @@
         time.advance(5ms);
         report("order", "n1", {10, 20, 10}, 50ms, {"leaf", round % 2 == 0 ? 0.2 : 0.6, 88ms});
     }
-    BOOST_TEST(std::abs(least("order").level - 0.4) < 0.1);
+    BOOST_TEST(std::abs(bottleneckOf("order").admit_ratio - 0.4) < 0.1);
 }
 
 BOOST_AUTO_TEST_CASE(estimates_without_new_reports_expire) {
     report("order", "n1", {50, 20, 20}, 50ms);
     time.advance(1900ms);
-    BOOST_TEST(least("order").level > 0.9);
+    BOOST_TEST(bottleneckOf("order").admit_ratio > 0.9);
     time.advance(1s);
-    BOOST_TEST(least("order").level == 1);
+    BOOST_TEST(bottleneckOf("order").admit_ratio == 1);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/decision/call_graph_test.cc
+++ b/tests/unit/decision/call_graph_test.cc
@@ -28,7 +28,7 @@
     Duration deadline{};
     Duration time{};
     std::vector<Calls> calls;
-    double repeat_share = 0;
+    double retry_probability = 0;
 };
 
 struct GraphFixture {
@@ -50,7 +50,7 @@
         }
         const auto began = time.queue.now();
         auto deadline = began + route.deadline;
-        const auto number = graph.onRunBegan(began, route.name, {route.repeat_share, 1}, &deadline);
+        const auto number = graph.onRunBegan(began, route.name, {route.retry_probability, 1}, &deadline);
         BOOST_TEST((deadline <= began + route.deadline));
         // The graph uses the observed mean time, which differs somewhat from the nominal one.
         BOOST_TEST((2 * (deadline - began) >= 5 * route.time || deadline == began + route.deadline));
@@ -68,7 +68,8 @@
             const auto& call = steps[next];
             const auto left = std::chrono::milliseconds(toMilliseconds(deadline - time.queue.now()));
             repeat_shares[call.callee] +=
-                graph.onCall(time.queue.now() + 300us, call.callee, std::min<Duration>(left, call.usual)).repeat_share;
+                graph.onCall(time.queue.now() + 300us, call.callee, std::min<Duration>(left, call.usual))
+                    .retry_probability;
             ++made[call.callee];
             if (random.unit() < call.fail_share) {
                 graph.onRunEnded(time.queue.now(), number, false);
@@ -161,13 +162,13 @@
 
 BOOST_AUTO_TEST_CASE(a_failure_is_explained_by_a_call_that_has_just_failed_during_the_run) {
     const auto began = time.queue.now();
-    BOOST_TEST(!graph.explainFailure(began, began));
+    BOOST_TEST(!graph.attributeFailure(began, began));
     graph.onCallFailed(began + 10ms);
-    BOOST_TEST(!graph.explainFailure(began + 12ms, began + 11ms));  // The run began after the failed call.
-    BOOST_TEST(graph.explainFailure(began + 12ms, began));
-    BOOST_TEST(!graph.explainFailure(began + 13ms, began));  // It explains one failure only.
+    BOOST_TEST(!graph.attributeFailure(began + 12ms, began + 11ms));  // The run began after the failed call.
+    BOOST_TEST(graph.attributeFailure(began + 12ms, began));
+    BOOST_TEST(!graph.attributeFailure(began + 13ms, began));  // It explains one failure only.
     graph.onCallFailed(began + 20ms);
-    BOOST_TEST(!graph.explainFailure(began + 2s, began));
+    BOOST_TEST(!graph.attributeFailure(began + 2s, began));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/decision/instance_demand_test.cc
+++ b/tests/unit/decision/instance_demand_test.cc
@@ -10,7 +10,7 @@
 struct DemandCase {
     const char* name;
     int per_second;
-    double represents;
+    double demand_weight;
     std::uint32_t running;
     Duration waiting_work;
     double least;  ///< Bounds of the admission ratio.
@@ -26,7 +26,7 @@
     const auto end = *now + 3s;
     const Duration pause = Duration(1s) / entry.per_second;
     for (; *now < end; *now += pause) {
-        demand.onArrival(*now, "r", entry.represents);
+        demand.onArrival(*now, "r", entry.demand_weight);
         demand.onRunning(*now, entry.running);
     }
     return demand.load(*now, kLimit, entry.waiting_work);
@@ -40,9 +40,9 @@
     const DemandCase cases[] = {
         {"idle", 50, 1, 1, 0ms, 1, 1},
         {"nearly all in use", 900, 1, 18, 0ms, 1, 1},
-        {"twice the capacity, nothing refused yet", 1900, 1, 19, 0ms, 0.46, 0.50},
-        {"the same, half refused at entries", 950, 2, 19, 0ms, 0.46, 0.50},
-        {"the same, nine tenths refused at entries", 190, 10, 19, 0ms, 0.46, 0.50},
+        {"twice the capacity, nothing rejected yet", 1900, 1, 19, 0ms, 0.46, 0.50},
+        {"the same, half rejected at entries", 950, 2, 19, 0ms, 0.46, 0.50},
+        {"the same, nine tenths rejected at entries", 190, 10, 19, 0ms, 0.46, 0.50},
         {"the same, with a queue to drain", 950, 2, 19, 4000ms, 0.30, 0.42},
         {"a very long queue leaves a minimum share to new requests", 950, 2, 19, 60000ms, 0.10, 0.20},
         {"limited by another bottleneck", 250, 4, 5, 0ms, 1, 1},
@@ -50,8 +50,8 @@
     for (const auto& entry : cases) {
         TimePoint now(100s);
         const auto load = loadOf(entry, &now);
-        BOOST_TEST(load.level() >= entry.least, entry.name << ": " << load.level());
-        BOOST_TEST(load.level() <= entry.most, entry.name << ": " << load.level());
+        BOOST_TEST(load.admitRatio() >= entry.least, entry.name << ": " << load.admitRatio());
+        BOOST_TEST(load.admitRatio() <= entry.most, entry.name << ": " << load.admitRatio());
     }
 }
 
@@ -66,15 +66,15 @@
         for (; now < end; now += Duration(1s) / per_second) {
             demand.onArrival(now, "r", 1);
         }
-        return demand.load(now, kLimit, {}).level();
+        return demand.load(now, kLimit, {}).admitRatio();
     };
     BOOST_TEST(feed(900, 2s) == 1);
     const double halfway = feed(3600, 500ms);
     BOOST_TEST(halfway < 0.5);
     for (int tenth = 0; tenth < 30; ++tenth) {
-        const double level = feed(3600, 600ms);
-        BOOST_TEST(level > 0.22);
-        BOOST_TEST(level < 0.32);
+        const double admit_ratio = feed(3600, 600ms);
+        BOOST_TEST(admit_ratio > 0.22);
+        BOOST_TEST(admit_ratio < 0.32);
     }
     feed(900, 1100ms);
     BOOST_TEST(feed(900, 100ms) == 1);
--- a/tests/unit/decision/repeat_budget_fleet_test.cc
+++ b/tests/unit/decision/retry_budget_fleet_test.cc
@@ -9,13 +9,13 @@
 #include <vector>
 
 #include "src/adapters/seeded_random.h"
-#include "src/decision/repeat_budget.h"
+#include "src/decision/retry_budget.h"
 
 using namespace dewcrank;
 
 namespace {
 
-constexpr decision::RepeatBound kLimit{0.2, 20, 10s};
+constexpr decision::RetryLimit kLimit{0.2, 20, 10s};
 constexpr TimePoint kStart(100s);
 constexpr Duration kDuration = 60s;
 constexpr Duration kStep = 10ms;  ///< One request in each.
@@ -43,7 +43,7 @@
 };
 
 struct Relay {
-    std::unique_ptr<decision::RepeatBudget> budget;  ///< Null while the relay is down.
+    std::unique_ptr<decision::RetryBudget> budget;  ///< Null while the relay is down.
     TimePoint restarts_at{};
     double weight = 1;
 };
@@ -53,7 +53,7 @@
     Service(const Disturbance& disturbance, std::uint64_t seed)
         : disturbance_(disturbance), random_(seed), relays_(disturbance.relays) {
         for (auto& relay : relays_) {
-            relay.budget = std::make_unique<decision::RepeatBudget>(kLimit, kStart);
+            relay.budget = std::make_unique<decision::RetryBudget>(kLimit, kStart);
         }
     }
 
@@ -70,15 +70,15 @@
     /// @return the greatest excess of retries over the limit, by the requests of the same window, in any window.
     [[nodiscard]] double worstExcess() const {
         double worst = -kLimit.slack;
-        for (const auto begin : repeats_) {
+        for (const auto begin : retries_) {
             const double limit = kLimit.ratio * countFrom(requests_, begin) + kLimit.slack;
-            worst = std::max(worst, countFrom(repeats_, begin) - limit);
+            worst = std::max(worst, countFrom(retries_, begin) - limit);
         }
         return worst;
     }
     /// @return retries per request that a relay received.
     [[nodiscard]] double retryShare() const {
-        return static_cast<double>(repeats_.size()) / static_cast<double>(received_);
+        return static_cast<double>(retries_.size()) / static_cast<double>(received_);
     }
 
 private:
@@ -96,7 +96,7 @@
     void disturb() {
         for (auto& relay : relays_) {
             if (relay.budget == nullptr && relay.restarts_at <= now_) {
-                relay.budget = std::make_unique<decision::RepeatBudget>(kLimit, now_);
+                relay.budget = std::make_unique<decision::RetryBudget>(kLimit, now_);
             }
         }
         if (happens(disturbance_.restarts)) {
@@ -127,9 +127,9 @@
     void request(Relay& relay) {
         const bool is_inherited = random_.unit() < disturbance_.inherited;
         ++received_;
-        relay.budget->onFirst(now_, is_inherited ? 1 : 0);
-        if (is_inherited || relay.budget->tryRepeat(now_, relaysUp(), 1)) {
-            repeats_.push_back(now_);
+        relay.budget->onFirstAttempt(now_, is_inherited ? 1 : 0);
+        if (is_inherited || relay.budget->tryRetry(now_, relaysUp(), 1)) {
+            retries_.push_back(now_);
         }
     }
 
@@ -138,13 +138,13 @@
     TimePoint now_{};
     std::vector<Relay> relays_;
     std::vector<TimePoint> requests_;
-    std::vector<TimePoint> repeats_;
+    std::vector<TimePoint> retries_;
     std::size_t received_ = 0;
 };
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(unit_decision_repeat_budget_fleet)
+BOOST_AUTO_TEST_SUITE(unit_decision_retry_budget_fleet)
 
 BOOST_AUTO_TEST_CASE(the_parts_never_exceed_the_whole) {
     for (const auto& entry : kCases) {
--- a/tests/unit/decision/repeat_budget_test.cc
+++ b/tests/unit/decision/retry_budget_test.cc
@@ -1,4 +1,4 @@
-#include "src/decision/repeat_budget.h"
+#include "src/decision/retry_budget.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr decision::RepeatBound kLimit{0.2, 0, 10s};
+constexpr decision::RetryLimit kLimit{0.2, 0, 10s};
 constexpr TimePoint kStart(100s);
 
-int retriesAfter(int first_attempts, double repeat_share) {
-    decision::RepeatBudget budget(kLimit, kStart);
+int retriesAfter(int first_attempts, double retry_probability) {
+    decision::RetryBudget budget(kLimit, kStart);
     for (int count = 0; count < first_attempts; ++count) {
-        budget.onFirst(kStart, repeat_share);
+        budget.onFirstAttempt(kStart, retry_probability);
     }
     int granted = 0;
-    while (budget.tryRepeat(kStart, 1, 1)) {
+    while (budget.tryRetry(kStart, 1, 1)) {
         ++granted;
     }
     return granted;
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(unit_decision_repeat_budget)
+BOOST_AUTO_TEST_SUITE(unit_decision_retry_budget)
 
 /// They use up the budget of retries, but are not denied by it.
 BOOST_AUTO_TEST_CASE(calls_of_retried_requests_count_against_the_budget_of_their_callee) {
@@ -34,39 +34,39 @@
 
 /// Guards against retries that multiply along a chain of calls: own and inherited ones share one limit.
 BOOST_AUTO_TEST_CASE(each_service_of_a_chain_that_retries_stays_within_its_limit) {
-    double repeat_share = 0;
+    double retry_probability = 0;
     for (int depth = 0; depth < 23; ++depth) {
         const int first_attempts = 1000;
-        const int own = retriesAfter(first_attempts, repeat_share);
-        const double repeats = own + repeat_share * first_attempts;
-        BOOST_TEST(repeats <= kLimit.ratio * first_attempts, depth);
-        repeat_share = repeats / (first_attempts + own);
+        const int own = retriesAfter(first_attempts, retry_probability);
+        const double retries = own + retry_probability * first_attempts;
+        BOOST_TEST(retries <= kLimit.ratio * first_attempts, depth);
+        retry_probability = retries / (first_attempts + own);
     }
 }
 
 BOOST_AUTO_TEST_CASE(a_window_shorter_than_a_step_counts_as_one_step) {
     for (const Duration window : {Duration::zero(), Duration(1ms), Duration(300ms)}) {
-        decision::RepeatBudget budget({0.5, 0, window}, kStart);
+        decision::RetryBudget budget({0.5, 0, window}, kStart);
         for (int count = 0; count < 10; ++count) {
-            budget.onFirst(kStart + 1s, 0);
+            budget.onFirstAttempt(kStart + 1s, 0);
         }
-        BOOST_TEST(budget.tryRepeat(kStart + 1s, 1, 1));
-        BOOST_TEST(!budget.tryRepeat(kStart + 2s, 1, 1));
+        BOOST_TEST(budget.tryRetry(kStart + 1s, 1, 1));
+        BOOST_TEST(!budget.tryRetry(kStart + 2s, 1, 1));
     }
 }
 
 /// A caller may be restricted to a share of the slack, and leaves the rest to others.
 BOOST_AUTO_TEST_CASE(the_slack_can_be_used_in_part) {
-    decision::RepeatBudget budget({0.2, 50, 10s}, kStart - 60s);
+    decision::RetryBudget budget({0.2, 50, 10s}, kStart - 60s);
     for (int count = 0; count < 50; ++count) {
-        budget.onFirst(kStart, 0);
+        budget.onFirstAttempt(kStart, 0);
     }
     int granted = 0;
-    while (budget.tryRepeat(kStart, 1, 0.25)) {
+    while (budget.tryRetry(kStart, 1, 0.25)) {
         ++granted;
     }
     BOOST_TEST(granted == 16);  // 0.8 * (0.2 * 50 + 0.25 * 0.8 * 50), rounded down.
-    BOOST_TEST(budget.tryRepeat(kStart, 1, 1));
+    BOOST_TEST(budget.tryRetry(kStart, 1, 1));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/entry/access_check_test.cc
+++ b/tests/unit/entry/access_check_test.cc
@@ -39,7 +39,7 @@
         lease.onRead(kNow);
     }
     entry::Access check(const char* route, std::optional<std::string_view> key, Duration age = 0s) {
-        const auto& routes = table.whole().routes();
+        const auto& routes = table.contents().routes();
         return entry::checkAccess(kNow + age, table, lease, routes[route == std::string("open") ? 1 : 0], key, {});
     }
     policy::RouteTable table{7};
--- a/tests/unit/policy/route_table_test.cc
+++ b/tests/unit/policy/route_table_test.cc
@@ -74,11 +74,11 @@
         part->set_weight(static_cast<std::uint32_t>(weight));
     }
     for (const double start : {0.0, 0.3, 0.77}) {
-        policy::TrafficDivider divider(start);
+        policy::TrafficSplitter splitter(start);
         std::map<std::string, int> counts;
         constexpr int kRequests = 300;
         for (int count = 0; count < kRequests; ++count) {
-            ++counts[route.parts(static_cast<int>(divider.next(route))).service()];
+            ++counts[route.parts(static_cast<int>(splitter.next(route))).service()];
         }
         for (const auto& [service, weight] : weights) {
             const double expected = weight * kRequests / 100.0;
--- a/tests/unit/policy/table_lease_test.cc
+++ b/tests/unit/policy/table_lease_test.cc
@@ -58,7 +58,7 @@
     for (const auto& entry : cases) {
         auto lease = leaseOf(5s);
         lease.onRead(kStart);
-        lease.onPeer(kStart + entry.sent_at, entry.age, entry.peer_version, entry.own_version);
+        lease.onPeerResponse(kStart + entry.sent_at, entry.age, entry.peer_version, entry.own_version);
         BOOST_TEST(lease.age(kStart + 10s)->count() == entry.expected.count());
     }
 }
--- a/tests/unit/relay/relay_parts_test.cc
+++ b/tests/unit/relay/relay_parts_test.cc
@@ -2,7 +2,7 @@
 #include <string>
 #include <vector>
 
-#include "src/decision/repeat_budget.h"
+#include "src/decision/retry_budget.h"
 #include "src/relay/caller_census.h"
 #include "src/relay/instance_queue.h"
 #include "src/relay/relay_service.h"
@@ -278,21 +278,21 @@
 
 BOOST_AUTO_TEST_CASE(repeats_stay_within_the_part_of_the_bound) {
     const TimePoint start(100s);
-    decision::RepeatBudget budget({0.2, 40, 10s}, start);
+    decision::RetryBudget budget({0.2, 40, 10s}, start);
     for (int count = 0; count < 100; ++count) {
-        budget.onFirst(start, 0);
+        budget.onFirstAttempt(start, 0);
     }
     int taken = 0;
-    while (budget.tryRepeat(start + 1s, 4, 1)) {
+    while (budget.tryRetry(start + 1s, 4, 1)) {
         ++taken;
     }
     BOOST_TEST(taken == 16);  // 0.8 of 0.2 * 100, and of 1.25 s of what comes of the slack: 0.2 * 40 / 4 in 10 s.
-    while (budget.tryRepeat(start + 9s, 4, 1)) {
+    while (budget.tryRetry(start + 9s, 4, 1)) {
         ++taken;
     }
     BOOST_TEST(taken == 17);  // The same with 9.25 s of the slack.
     int later = 0;
-    while (budget.tryRepeat(start + 30s, 4, 1)) {
+    while (budget.tryRetry(start + 30s, 4, 1)) {
         ++later;
     }
     BOOST_TEST(later == 6);  // The slack alone: 0.8 of what is kept of it, 0.8 * 40 / 4.
@@ -301,15 +301,15 @@
 BOOST_AUTO_TEST_CASE(a_route_is_inner_if_its_requests_begin_beside_too_few_services) {
     tests::VirtualTime time;
     relay::CallerCensus census(time.clock, [](const std::string&) { return 0.25; });
-    BOOST_TEST(!census.isInner("unseen"));
+    BOOST_TEST(!census.isInternal("unseen"));
     for (int count = 0; count < 20; ++count) {
         census.onRequest("inner", "desk");
         census.onRequest("callers", "service" + std::to_string(count % 4));
     }
-    BOOST_TEST(census.isInner("inner"));
-    BOOST_TEST(!census.isInner("callers"));
+    BOOST_TEST(census.isInternal("inner"));
+    BOOST_TEST(!census.isInternal("callers"));
     census.onRequest("new", "desk");
-    BOOST_TEST(!census.isInner("new"));
+    BOOST_TEST(!census.isInternal("new"));
     BOOST_TEST(!census.verdict("new").has_value());  // One request tells nothing.
     BOOST_TEST(!census.verdict("unseen").has_value());
     BOOST_TEST(census.verdict("inner").value());
@@ -325,7 +325,7 @@
     request.instance = "i1";
     request.is_repeat = true;
     request.is_last_choice = true;
-    request.lineage = {0.25, 3.5};
+    request.call_context = {0.25, 3.5};
     request.route = "r";
     request.priority = 3;
     request.deadline = TimePoint(5s);
@@ -345,8 +345,8 @@
     BOOST_TEST(read->is_repeat_paid);
     BOOST_TEST(read->is_only_choice);
     BOOST_TEST((read->failure_plan == relay::FailurePlan::kRepeat));
-    BOOST_TEST(read->lineage.repeat_share == 0.25);
-    BOOST_TEST(read->lineage.represents == 3.5);
+    BOOST_TEST(read->call_context.retry_probability == 0.25);
+    BOOST_TEST(read->call_context.demand_weight == 3.5);
     BOOST_TEST(read->priority == 3U);
     BOOST_TEST((read->deadline == TimePoint(10s)));  // The time left, on the relay's own clock.
     BOOST_TEST((read->longest_wait == 70ms));
@@ -364,10 +364,10 @@
         result.was_offered = true;
         result.answer.status = 418;
         result.load = {4, 5, 6, 7ms};
-        result.report.below = {"leaf", 0.25, 88ms};
+        result.report.downstream = {"leaf", 0.25, 88ms};
         result.report.load = {30.5, 18, 17.25};
         result.report.time = 22ms;
-        result.report.is_inner = true;
+        result.report.is_internal = true;
         const auto received_result = relay::fromHttp(relay::toHttp(result, {"n2", 8}));
         const auto& back = received_result.result;
         BOOST_TEST(received_result.sender.name == "n2");
@@ -376,14 +376,14 @@
         BOOST_TEST((back.reason == result.reason));
         BOOST_TEST(back.load.waiting == 5U);
         BOOST_TEST((back.load.mean_time == 7ms));
-        BOOST_TEST(back.report.below.service == "leaf");
-        BOOST_TEST(back.report.below.level == 0.25);
-        BOOST_TEST((back.report.below.cost == 88ms));
+        BOOST_TEST(back.report.downstream.service == "leaf");
+        BOOST_TEST(back.report.downstream.admit_ratio == 0.25);
+        BOOST_TEST((back.report.downstream.cost == 88ms));
         BOOST_TEST(back.report.load.demand == 30.5);
         BOOST_TEST(back.report.load.capacity == 18);
         BOOST_TEST(back.report.load.busy == 17.25);
         BOOST_TEST((back.report.time == 22ms));
-        BOOST_TEST(back.report.is_inner.value());
+        BOOST_TEST(back.report.is_internal.value());
         BOOST_TEST(back.failed_below);
         BOOST_TEST(back.is_repeat_paid);
         BOOST_TEST((back.answer.status == 418) == (outcome == relay::RelayOutcome::kAnswered));
--- a/tests/unit/relay/relay_repeats_test.cc
+++ b/tests/unit/relay/relay_repeats_test.cc
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr decision::RepeatBound kBound{0.2, 40, 10s};
+constexpr decision::RetryLimit kBound{0.2, 40, 10s};
 constexpr std::size_t kRelays = 3;
 constexpr Duration kStep = 500ms;  ///< Each relay gets a request in each.
 constexpr double kRequestsInWindow = kRelays * (kBound.window / kStep);
