--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -1,7 +1,7 @@
 /// @file
 /// Overload admission at the entry: rejects requests before their first hop, by the admission ratio of the
-/// bottleneck service of their route. Follows DAGOR (Zhou et al., SoCC 2018), which applies the admission levels
-/// of an overloaded service upstream.
+/// bottleneck service of their route. Like DAGOR (Zhou et al., SoCC 2018), it applies upstream what an overloaded
+/// service reports about its load.
 #pragma once
 
 #include <cstdint>
--- a/src/decision/bottleneck_view.h
+++ b/src/decision/bottleneck_view.h
@@ -29,8 +29,8 @@
     ServiceLoad load;       ///< Of the relay's instance.
     Duration time{};        ///< Mean time that a request of the route holds a slot of the instance.
     Bottleneck downstream;  ///< Of the calls that the route makes; its service is empty if the route makes none.
-    /// True if instances call the route; unset while the relay cannot tell yet, as just after its start: with a wrong
-    /// "false", callers would reject calls of requests that were admitted already.
+    /// True if instances call the route, not clients. Unset while the relay cannot decide, as just after its start: a
+    /// wrong "false" would let callers reject the calls of requests that were admitted already.
     std::optional<bool> is_internal;
 };
 
--- a/src/decision/call_graph.h
+++ b/src/decision/call_graph.h
@@ -30,8 +30,8 @@
     Duration tolerance = 3ms;             ///< Greatest difference of the deadlines of a call and its request: both
                                           ///< are rounded to milliseconds, and a call takes a moment to arrive.
     Duration half_life = 30s;             ///< Counts are halved this often.
-    double sample_share = 0.85;           ///< Timeout of a sample as a share of the calls' usual timeout. The rest
-                                          ///< lets calls that are made late in a run be identified.
+    double sample_share = 0.85;           ///< Timeout of a sample as a share of the calls' usual timeout; the rest
+                                          ///< allows calls that are made late in a run to be identified.
     double min_time_factor = 3;           ///< A sample has at least this many times the mean time of its route.
     std::uint32_t learning_interval = 1;  ///< One run in this many is a sample while a route's calls are unknown,
     std::uint32_t known_interval = 64;    ///< and one in this many afterwards, to detect changes.
--- a/src/decision/usual_deadlines.h
+++ b/src/decision/usual_deadlines.h
@@ -9,11 +9,12 @@
 
 namespace dewcrank::decision {
 
-/// Tracks the usual timeout of each route: the longest one given recently. A client retry, and a call that is made
-/// for another request, give less, because they pass on the time that is left.
+/// Tracks the usual timeout of each route: the longest one of its recent requests. A client retry, or a call that is
+/// made for another request, often has a shorter timeout: the time that is left to it.
 class UsualDeadlines {
 public:
-    /// Registers a request. @param timeout that it gives. @return true if that is less than is usual on its route.
+    /// Registers a request. @return true if its timeout is shorter than the usual one of its route.
+    /// @param timeout   remaining time until the request's deadline.
     bool isShortened(TimePoint now, const std::string& route, Duration timeout);
     /// @return the usual timeout of a route; zero before its first request.
     [[nodiscard]] Duration usual(const std::string& route) const;
