--- a/src/fleet/gossip.cc
+++ b/src/fleet/gossip.cc
@@ -273,7 +273,7 @@
         mergeMessage(response, nullptr);
         if (response.has_table_age_us()) {
             const Duration age(static_cast<std::int64_t>(response.table_age_us()));
-            lease_.onPeer(sent, age, response.table_version(), table_.version());
+            lease_.onPeerResponse(sent, age, response.table_version(), table_.version());
         }
     }
     if (has_response && !is_expected_sender) {
@@ -364,7 +364,7 @@
         }
     }
     if (received.is_table_wanted() && received.table_version() < table_.version()) {
-        *reply.mutable_table() = table_.whole();
+        *reply.mutable_table() = table_.contents();
     }
     reply.set_is_digest_wanted(received.directory_hash() != 0 && received.directory_hash() != directory_.hash());
     if (table_.onVersionSeen(received.table_version())) {
--- a/src/policy/route_table.cc
+++ b/src/policy/route_table.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The fractional part of the golden ratio spreads a sequence as evenly as can be.
+/// Multiples of the golden ratio modulo 1 are spread evenly.
 constexpr double kGoldenFraction = 0.6180339887498949;
 
 std::string lowerCase(std::string_view text) {
@@ -22,8 +22,8 @@
 }  // namespace
 
 std::uint32_t rankOf(const wire::Route& route, const wire::Tenant* tenant) {
-    const auto of_tenant = tenant == nullptr ? 0 : std::min(tenant->priority(), kPriorities - 1);
-    return of_tenant * kPriorities + std::min(route.priority(), kPriorities - 1);
+    const auto tenant_priority = tenant == nullptr ? 0 : std::min(tenant->priority(), kPriorities - 1);
+    return tenant_priority * kPriorities + std::min(route.priority(), kPriorities - 1);
 }
 
 bool RouteTable::adopt(wire::RouteTable table) {
@@ -61,7 +61,7 @@
 }
 
 TenantPtr RouteTable::tenantOf(std::string_view key) const {
-    const auto* holder = tenants_.holderOf(key);
+    const auto* holder = tenants_.findByKey(key);
     return holder == nullptr ? nullptr : TenantPtr(table_, holder);
 }
 
@@ -70,7 +70,7 @@
     return found == tenants_by_name_.end() ? nullptr : found->second;
 }
 
-bool RouteTable::namesService(const std::string& service) const {
+bool RouteTable::referencesService(const std::string& service) const {
     const auto is_named = [&](const auto& row) { return row.name() == service; };
     const auto is_part = [&](const wire::TrafficPart& part) { return part.service() == service; };
     return std::any_of(table_->services().begin(), table_->services().end(), is_named) ||
@@ -81,10 +81,10 @@
 
 bool RouteTable::onVersionSeen(std::uint64_t version) {
     newest_seen_ = std::max(newest_seen_, version);
-    return isBehind();
+    return isStale();
 }
 
-std::size_t TrafficDivider::next(const wire::Route& route) {
+std::size_t TrafficSplitter::next(const wire::Route& route) {
     position_ = std::fmod(position_ + kGoldenFraction, 1.0);
     const auto total = std::accumulate(route.parts().begin(), route.parts().end(), 0.0,
                                        [](double sum, const auto& part) { return sum + part.weight(); });
--- a/src/quota/shard_lease_manager.cc
+++ b/src/quota/shard_lease_manager.cc
@@ -43,7 +43,7 @@
 
 /// Shards need owners only if a tenant has a rate limit.
 bool ShardLeaseManager::hasRateLimits() const {
-    const auto& tenants = table_.whole().tenants();
+    const auto& tenants = table_.contents().tenants();
     return std::any_of(tenants.begin(), tenants.end(), [](const auto& it) { return it.rate_per_s() > 0; });
 }
 
--- a/src/relay/relay_message.h
+++ b/src/relay/relay_message.h
@@ -27,15 +27,15 @@
     bool is_retry = false;       ///< It was sent to an instance before.
     bool is_retry_paid = false;  ///< The retry budget of the relay where it failed has already granted the retry.
     RetryPolicy retry_policy = RetryPolicy::kNever;
-    bool is_counted = false;         ///< Another relay has already counted it for its retry budget.
-    bool is_suspect = false;         ///< An instance crashed while it ran this request.
-    bool is_only_candidate = false;  ///< All relays of the service that the entry has a record of are stopping.
-    bool is_last_candidate = false;  ///< The entry tries no further relay if this one rejects it.
-    std::string route;               ///< Name of the route in the table.
-    std::uint32_t priority = 0;      ///< 0 is the most urgent.
-    TimePoint deadline{};            ///< Of the response of the instance.
-    Duration max_wait{};             ///< In the queue; internal calls may wait longer.
-    decision::Lineage lineage;       ///< Inherited from the run that makes this call.
+    bool is_counted = false;             ///< Another relay has already counted it for its retry budget.
+    bool is_suspect = false;             ///< An instance crashed while it ran this request.
+    bool is_only_candidate = false;      ///< All relays of the service that the entry has a record of are stopping.
+    bool is_last_candidate = false;      ///< The entry tries no further relay if this one rejects it.
+    std::string route;                   ///< Name of the route in the table.
+    std::uint32_t priority = 0;          ///< 0 is the most urgent.
+    TimePoint deadline{};                ///< Of the response of the instance.
+    Duration max_wait{};                 ///< In the queue; internal calls may wait longer.
+    decision::CallContext call_context;  ///< Inherited from the run that makes this call.
 };
 
 /// What is known about the execution of a relayed request.
--- a/src/relay/relay_retries.cc
+++ b/src/relay/relay_retries.cc
@@ -18,14 +18,14 @@
 
 }  // namespace
 
-RelayRetries::RelayRetries(Clock& clock, const decision::CallGraph& graph, decision::RepeatBound bound)
+RelayRetries::RelayRetries(Clock& clock, const decision::CallGraph& graph, decision::RetryLimit bound)
     : clock_(clock), graph_(graph), budget_(bound, clock.now()), relay_count_(bound.window, 1) {}
 
 void RelayRetries::count(const RelayRequest& request) {
     if (request.is_counted) {
         counted_elsewhere_ += request.is_retry ? 0 : 1;
     } else if (!request.is_retry) {
-        budget_.onFirst(clock_.now(), request.lineage.repeat_share);
+        budget_.onFirstAttempt(clock_.now(), request.call_context.retry_probability);
     }
 }
 
@@ -42,13 +42,13 @@
 }
 
 bool RelayRetries::takeFromBudget(const std::string& route) {
-    return budget_.tryRepeat(clock_.now(), relayCount(), slackShare(route));
+    return budget_.tryRetry(clock_.now(), relayCount(), slackShare(route));
 }
 
 /// Each call of a retried run is a retry at the called service, which cannot deny it. The ratio covers these retries
 /// there as well; the slack of the caller is divided so that it fits into the slack of the called service.
 double RelayRetries::slackShare(const std::string& route) const {
-    const double calls = graph_.mostCalls(route);
+    const double calls = graph_.maxCallsPerRun(route);
     return calls > 0 ? 1 / (kMaxCallingServices * std::max(1.0, calls)) : 1;
 }
 
--- a/src/relay/relay_retries.h
+++ b/src/relay/relay_retries.h
@@ -8,7 +8,7 @@
 
 #include "src/base/recent_maximum.h"
 #include "src/decision/call_graph.h"
-#include "src/decision/repeat_budget.h"
+#include "src/decision/retry_budget.h"
 #include "src/ports/clock.h"
 #include "src/relay/relay_message.h"
 
@@ -19,7 +19,7 @@
 class RelayRetries {
 public:
     /// @param graph of the calls that the instance makes. @param bound limit of the whole service.
-    RelayRetries(Clock& clock, const decision::CallGraph& graph, decision::RepeatBound bound);
+    RelayRetries(Clock& clock, const decision::CallGraph& graph, decision::RetryLimit bound);
 
     /// @param count of relays that accept requests of the service. The slack is divided by the maximum over the last
     /// window, as relays that have gone or are stopping may have spent their parts.
@@ -32,8 +32,8 @@
     /// use all of its relay's budget. @return whether it is granted.
     bool payForRetry(const RelayRequest& request, const RelayResult& result);
 
-    [[nodiscard]] const decision::RepeatTotals& totals() const { return budget_.totals(); }
-    [[nodiscard]] decision::RepeatWindow window() { return budget_.window(clock_.now(), relayCount()); }
+    [[nodiscard]] const decision::RetryTotals& totals() const { return budget_.totals(); }
+    [[nodiscard]] decision::RetryWindow window() { return budget_.window(clock_.now(), relayCount()); }
     /// Total of first attempts that were not counted here, as another relay had counted them.
     [[nodiscard]] std::uint64_t countedElsewhere() const { return counted_elsewhere_; }
     /// Number of relays by which the slack is divided.
@@ -45,7 +45,7 @@
 
     Clock& clock_;
     const decision::CallGraph& graph_;
-    decision::RepeatBudget budget_;
+    decision::RetryBudget budget_;
     RecentMaximum relay_count_;
     std::uint64_t counted_elsewhere_ = 0;
 };
--- a/src/relay/relay_service.cc
+++ b/src/relay/relay_service.cc
@@ -165,7 +165,7 @@
     // A rejected request that another relay may still accept does not count as demand for this instance.
     const bool is_accepted = call.ticket != 0 || call.is_admitted;
     if (is_accepted || request.is_last_candidate) {
-        demand_.onArrival(now, request.route, request.lineage.represents);
+        demand_.onArrival(now, request.route, request.call_context.demand_weight);
     }
 }
 
@@ -209,10 +209,10 @@
     auto request = std::move(call.request.request);
     call.sent_at = clock_.now();
     call.incarnation = instance::incarnationName(instance_.record());
-    auto lineage = call.request.lineage;
-    lineage.repeat_share = call.request.is_retry ? 1 : lineage.repeat_share;
+    auto call_context = call.request.call_context;
+    call_context.retry_probability = call.request.is_retry ? 1 : call_context.retry_probability;
     auto deadline = call.request.deadline;
-    call.run = call_graph_.onRunBegan(call.sent_at, call.request.route, lineage, &deadline);
+    call.run = call_graph_.onRunBegan(call.sent_at, call.request.route, call_context, &deadline);
     const auto time_left = deadline - call.sent_at;
     runs_.onSent(id, {call.request_id, call.request.route, call.incarnation, call.fingerprint, call.is_trial});
     request.headers.set(names_.expected_instance, call.request.instance);
@@ -358,7 +358,7 @@
     removeHopByHopHeaders(response.headers);
     relayed.outcome = RelayOutcome::kAnswered;
     relayed.failed_downstream =
-        response.status == kHttpInternalServerError && call_graph_.explainFailure(clock_.now(), call.sent_at);
+        response.status == kHttpInternalServerError && call_graph_.attributeFailure(clock_.now(), call.sent_at);
     relayed.answer = std::move(response);
     return relayed;
 }
@@ -386,7 +386,7 @@
     result.has_load = true;
     result.report.load = serviceLoad();
     result.report.time = demand_.timeOf(call.request.route);
-    result.report.is_inner = route_detector_.classify(call.request.route);
+    result.report.is_internal = route_detector_.classify(call.request.route);
     call.callback(std::move(result));
 }
 
--- a/src/relay/relay_service.h
+++ b/src/relay/relay_service.h
@@ -37,7 +37,7 @@
 /// Constants of a relay.
 struct RelayKnobs {
     QueueKnobs queue;
-    decision::RepeatBound repeats;     ///< Limit of the retries of the service.
+    decision::RetryLimit repeats;      ///< Limit of the retries of the service.
     Duration min_remaining = 5ms;      ///< A request with less time than this before its deadline is not sent.
     double internal_wait_ratio = 0.6;  ///< Part of its remaining time for which an internal call may wait.
     Duration priority_step = 100ms;  ///< Added to the virtual deadline for each step of priority below the most urgent.
@@ -89,8 +89,8 @@
     /// Calls that are queued or running.
     [[nodiscard]] std::size_t inFlight() const { return calls_.size(); }
     [[nodiscard]] QueueLoad load() const { return queue_.load(); }
-    [[nodiscard]] const decision::RepeatTotals& retryTotals() const { return retries_.totals(); }
-    [[nodiscard]] decision::RepeatWindow retryWindow() { return retries_.window(); }
+    [[nodiscard]] const decision::RetryTotals& retryTotals() const { return retries_.totals(); }
+    [[nodiscard]] decision::RetryWindow retryWindow() { return retries_.window(); }
     /// Total of first attempts that another relay had already counted for its retry budget.
     [[nodiscard]] std::uint64_t countedElsewhere() const { return retries_.countedElsewhere(); }
     /// Number of relays by which the slack of the retry budget is divided.
@@ -112,7 +112,7 @@
         bool is_trial = false;     ///< It is the one suspect that may run.
         bool is_admitted = false;  ///< It holds a slot of the instance.
         TimePoint sent_at{};
-        decision::CallGraph::RunNumber run = 0;  ///< 0 before it is sent.
+        decision::CallGraph::RunId run = 0;  ///< 0 before it is sent.
         AttemptHandle attempt;
         TimerHandle rejection_timer;  ///< Delivers a rejection from the event loop.
     };
--- a/src/relay/relay_wire.cc
+++ b/src/relay/relay_wire.cc
@@ -57,23 +57,25 @@
 }
 
 void write(FieldWriter* fields, const decision::RouteReport& report) {
-    fields->add(report.is_inner ? (*report.is_inner ? kInternal : kExternal) : kUnclassified);
+    fields->add(report.is_internal ? (*report.is_internal ? kInternal : kExternal) : kUnclassified);
     fields->add(toThousandths(report.load.demand)).add(toThousandths(report.load.capacity));
     fields->add(toThousandths(report.load.busy)).add(report.time.count());
-    fields->add(report.below.service).add(toThousandths(report.below.level)).add(report.below.cost.count());
+    fields->add(report.downstream.service)
+        .add(toThousandths(report.downstream.admit_ratio))
+        .add(report.downstream.cost.count());
 }
 
 decision::RouteReport readReport(FieldReader* fields) {
     decision::RouteReport report;
     const auto route_kind = fields->number();
-    report.is_inner = route_kind == kUnclassified ? std::nullopt : std::optional(route_kind == kInternal);
+    report.is_internal = route_kind == kUnclassified ? std::nullopt : std::optional(route_kind == kInternal);
     report.load.demand = fromThousandths(fields->number());
     report.load.capacity = fromThousandths(fields->number());
     report.load.busy = fromThousandths(fields->number());
     report.time = Duration(fields->number());
-    report.below.service = fields->text();
-    report.below.level = fromThousandths(fields->number());
-    report.below.cost = Duration(fields->number());
+    report.downstream.service = fields->text();
+    report.downstream.admit_ratio = fromThousandths(fields->number());
+    report.downstream.cost = Duration(fields->number());
     return report;
 }
 
@@ -96,7 +98,8 @@
     fields.add(request.instance).add(request.route).add(request.priority);
     fields.add(request.is_retry ? 1 : 0).add(request.is_last_candidate ? 1 : 0);
     fields.add((request.deadline - now).count()).add(request.max_wait.count());
-    fields.add(toThousandths(request.lineage.repeat_share)).add(toThousandths(request.lineage.represents));
+    fields.add(toThousandths(request.call_context.retry_probability))
+        .add(toThousandths(request.call_context.demand_weight));
     fields.add(request.is_counted ? 1 : 0).add(request.is_suspect ? 1 : 0);
     fields.add(static_cast<std::int64_t>(request.retry_policy)).add(request.is_retry_paid ? 1 : 0);
     fields.add(request.is_only_candidate ? 1 : 0);
@@ -120,8 +123,8 @@
     relayed.is_last_candidate = fields.number() != 0;
     relayed.deadline = now + Duration(fields.number());
     relayed.max_wait = Duration(fields.number());
-    relayed.lineage.repeat_share = std::clamp(fromThousandths(fields.number()), 0.0, 1.0);
-    relayed.lineage.represents = std::max(1.0, fromThousandths(fields.number()));
+    relayed.call_context.retry_probability = std::clamp(fromThousandths(fields.number()), 0.0, 1.0);
+    relayed.call_context.demand_weight = std::max(1.0, fromThousandths(fields.number()));
     relayed.is_counted = fields.number() != 0;
     relayed.is_suspect = fields.number() != 0;
     relayed.retry_policy = toRetryPolicy(fields.number());
--- a/tests/unit/decision/bottleneck_view_test.cc
+++ b/tests/unit/decision/bottleneck_view_test.cc
@@ -10,10 +10,10 @@
 namespace {
 
 struct ViewFixture {
-    /// A route of the instance that makes two calls of `inner` in each run, and one that makes none.
+    /// Teaches the graph a route that makes two calls to `inner` in each run, and one that makes none.
     void learnCalls() {
         const auto now = time.clock.now();
-        graph.onCall(now, "inner", 900ms);  // Its usual time.
+        graph.onCall(now, "inner", 900ms);  // Its usual timeout.
         for (int run = 0; run < 40; ++run) {
             auto deadline = now + 400ms + 10ms * run;
             auto plain_deadline = deadline + 100ms;
@@ -26,11 +26,13 @@
         }
     }
     void report(const std::string& route, const std::string& relay, const decision::ServiceLoad& load, Duration cost,
-                const decision::Bottleneck& below = {}) {
-        view.onReport(time.clock.now(), route, "desk", relay, {load, cost, below, route == "inner"});
+                const decision::Bottleneck& downstream = {}) {
+        view.onReport(time.clock.now(), route, "desk", relay, {load, cost, downstream, route == "inner"});
+    }
+    decision::Bottleneck bottleneckOf(const std::string& route) { return view.bottleneckOf(time.clock.now(), route); }
+    decision::Bottleneck bottleneckOfCalls(const std::string& route) {
+        return view.bottleneckOfCalls(time.clock.now(), route, graph);
     }
-    decision::Bottleneck least(const std::string& route) { return view.least(time.clock.now(), route); }
-    decision::Bottleneck below(const std::string& route) { return view.leastBelow(time.clock.now(), route, graph); }
 
     tests::VirtualTime time;
     decision::CallGraph graph{{}};
@@ -42,42 +44,42 @@
 BOOST_FIXTURE_TEST_SUITE(unit_decision_bottleneck_view, ViewFixture)
 
 BOOST_AUTO_TEST_CASE(nothing_is_known_before_the_first_report) {
-    BOOST_TEST(least("any").service.empty());
-    BOOST_TEST(least("any").level == 1);
-    BOOST_TEST(!view.isInner("any"));
+    BOOST_TEST(bottleneckOf("any").service.empty());
+    BOOST_TEST(bottleneckOf("any").admit_ratio == 1);
+    BOOST_TEST(!view.isInternal("any"));
 }
 
-/// One slow relay among several lowers the level only by what it holds back.
+/// One overloaded relay lowers the ratio only by its part of the load.
 BOOST_AUTO_TEST_CASE(the_relays_of_a_service_count_together) {
     report("order", "n1", {10, 20, 10}, 50ms);
     report("order", "n2", {10, 20, 10}, 50ms);
     report("order", "n3", {60, 20, 20}, 50ms);
-    BOOST_TEST(least("order").level > 0.7);
+    BOOST_TEST(bottleneckOf("order").admit_ratio > 0.7);
     report("order", "n1", {50, 20, 20}, 50ms);
-    BOOST_TEST(least("order").level == 0.5);
-    BOOST_TEST(least("order").service == "desk");
-    BOOST_TEST((least("order").cost == 50ms));
+    BOOST_TEST(bottleneckOf("order").admit_ratio == 0.5);
+    BOOST_TEST(bottleneckOf("order").service == "desk");
+    BOOST_TEST((bottleneckOf("order").cost == 50ms));
 }
 
 BOOST_AUTO_TEST_CASE(just_the_routes_that_make_a_call_share_its_bottleneck) {
     learnCalls();
     report("inner", "n1", {50, 20, 20}, 30ms);
-    BOOST_TEST(below("calling").service == "desk");
-    BOOST_TEST(below("calling").level == 0.4);
-    BOOST_TEST((below("calling").cost == 60ms));
-    BOOST_TEST(below("plain").service.empty());
+    BOOST_TEST(bottleneckOfCalls("calling").service == "desk");
+    BOOST_TEST(bottleneckOfCalls("calling").admit_ratio == 0.4);
+    BOOST_TEST((bottleneckOfCalls("calling").cost == 60ms));
+    BOOST_TEST(bottleneckOfCalls("plain").service.empty());
 }
 
-BOOST_AUTO_TEST_CASE(the_least_level_counts_wherever_it_is_below) {
+BOOST_AUTO_TEST_CASE(the_lowest_ratio_counts_at_any_depth) {
     report("order", "n1", {10, 20, 10}, 50ms, {"leaf", 0.3, 88ms});
-    BOOST_TEST(least("order").service == "leaf");
-    BOOST_TEST(std::abs(least("order").level - 0.3) < 1e-6);
-    BOOST_TEST((least("order").cost == 88ms));
-    report("other", "n1", {10, 20, 10}, 50ms, {"leaf", 0.8, 88ms});  // The same service, by another way.
-    BOOST_TEST(std::abs(least("order").level - 0.4) < 1e-6);
+    BOOST_TEST(bottleneckOf("order").service == "leaf");
+    BOOST_TEST(std::abs(bottleneckOf("order").admit_ratio - 0.3) < 1e-6);
+    BOOST_TEST((bottleneckOf("order").cost == 88ms));
+    report("other", "n1", {10, 20, 10}, 50ms, {"leaf", 0.8, 88ms});  // The same service, reported on another route.
+    BOOST_TEST(std::abs(bottleneckOf("order").admit_ratio - 0.4) < 1e-6);
 }
 
-/// A relay that has started anew does not know yet which calls its instance makes.
+/// A relay that has just started does not know which calls its instance makes, and reports too many.
 BOOST_AUTO_TEST_CASE(what_most_relays_say_of_a_route_counts) {
     for (int round = 0; round < 20; ++round) {
         for (const auto* relay : {"n1", "n2", "n3"}) {
@@ -87,11 +89,11 @@
             report("order", relay, {10, 20, 10}, 50ms, {"leaf", 0.3, 88ms});
         }
     }
-    BOOST_TEST(least("pack").level == 1);
-    BOOST_TEST(std::abs(least("order").level - 0.3) < 1e-6);
+    BOOST_TEST(bottleneckOf("pack").admit_ratio == 1);
+    BOOST_TEST(std::abs(bottleneckOf("order").admit_ratio - 0.3) < 1e-6);
 }
 
-/// After an overload a node calls the relay of its own zone only.
+/// Guards against a ratio that stays low after an overload, when the node calls only the relay of its own zone.
 BOOST_AUTO_TEST_CASE(relays_that_are_not_called_any_more_do_not_hold_the_level_down) {
     report("order", "n1", {50, 20, 20}, 50ms);
     report("order", "n2", {50, 20, 20}, 50ms);
@@ -99,11 +101,10 @@
         report("order", "n3", {10, 20, 10}, 50ms);
         time.advance(100ms);
     }
-    BOOST_TEST(least("order").level == 1);
+    BOOST_TEST(bottleneckOf("order").admit_ratio == 1);
 }
 
-/// An entry that lets little in hears of the bottleneck a few times a second: each word counts the more, the older the
-/// last one is.
+/// Guards against an entry that goes on rejecting after an overload: it admits little, so it receives few reports.
 BOOST_AUTO_TEST_CASE(a_word_after_a_while_replaces_what_was_told_before) {
     for (int round = 0; round < 20; ++round) {
         report("order", "n1", {10, 20, 10}, 50ms, {"leaf", 0.3, 88ms});
@@ -111,24 +112,24 @@
     }
     time.advance(300ms);
     report("order", "n1", {10, 20, 10}, 50ms, {"leaf", 1.0, 88ms});
-    BOOST_TEST(least("order").level > 0.95);
+    BOOST_TEST(bottleneckOf("order").admit_ratio > 0.95);
 }
 
-/// Words that come together are averaged: each is one node's estimate.
-BOOST_AUTO_TEST_CASE(words_that_come_together_are_averaged) {
+/// Each report is the estimate of one node.
+BOOST_AUTO_TEST_CASE(reports_in_quick_succession_are_averaged) {
     for (int round = 0; round < 40; ++round) {
         time.advance(5ms);
         report("order", "n1", {10, 20, 10}, 50ms, {"leaf", round % 2 == 0 ? 0.2 : 0.6, 88ms});
     }
-    BOOST_TEST(std::abs(least("order").level - 0.4) < 0.1);
+    BOOST_TEST(std::abs(bottleneckOf("order").admit_ratio - 0.4) < 0.1);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_not_reported_any_more_fades) {
+BOOST_AUTO_TEST_CASE(estimates_without_new_reports_expire) {
     report("order", "n1", {50, 20, 20}, 50ms);
     time.advance(1900ms);
-    BOOST_TEST(least("order").level > 0.9);
+    BOOST_TEST(bottleneckOf("order").admit_ratio > 0.9);
     time.advance(1s);
-    BOOST_TEST(least("order").level == 1);
+    BOOST_TEST(bottleneckOf("order").admit_ratio == 1);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/relay/relay_parts_test.cc
+++ b/tests/unit/relay/relay_parts_test.cc
@@ -2,7 +2,7 @@
 #include <string>
 #include <vector>
 
-#include "src/decision/repeat_budget.h"
+#include "src/decision/retry_budget.h"
 #include "src/relay/instance_queue.h"
 #include "src/relay/internal_route_detector.h"
 #include "src/relay/relay_service.h"
@@ -277,21 +277,21 @@
 
 BOOST_AUTO_TEST_CASE(retries_stay_within_the_part_of_the_limit) {
     const TimePoint start(100s);
-    decision::RepeatBudget budget({0.2, 40, 10s}, start);
+    decision::RetryBudget budget({0.2, 40, 10s}, start);
     for (int count = 0; count < 100; ++count) {
-        budget.onFirst(start, 0);
+        budget.onFirstAttempt(start, 0);
     }
     int taken = 0;
-    while (budget.tryRepeat(start + 1s, 4, 1)) {
+    while (budget.tryRetry(start + 1s, 4, 1)) {
         ++taken;
     }
     BOOST_TEST(taken == 16);  // 0.8 of 0.2 * 100, and of the slack accrued in 1.25 s: 0.2 * 40 / 4 in 10 s.
-    while (budget.tryRepeat(start + 9s, 4, 1)) {
+    while (budget.tryRetry(start + 9s, 4, 1)) {
         ++taken;
     }
     BOOST_TEST(taken == 17);  // The same with the slack accrued in 9.25 s.
     int later = 0;
-    while (budget.tryRepeat(start + 30s, 4, 1)) {
+    while (budget.tryRetry(start + 30s, 4, 1)) {
         ++later;
     }
     BOOST_TEST(later == 6);  // Only the slack: 0.8 of its stored part, 0.8 * 40 / 4.
@@ -324,7 +324,7 @@
     request.instance = "i1";
     request.is_retry = true;
     request.is_last_candidate = true;
-    request.lineage = {0.25, 3.5};
+    request.call_context = {0.25, 3.5};
     request.route = "r";
     request.priority = 3;
     request.deadline = TimePoint(5s);
@@ -344,8 +344,8 @@
     BOOST_TEST(read->is_retry_paid);
     BOOST_TEST(read->is_only_candidate);
     BOOST_TEST((read->retry_policy == relay::RetryPolicy::kAlways));
-    BOOST_TEST(read->lineage.repeat_share == 0.25);
-    BOOST_TEST(read->lineage.represents == 3.5);
+    BOOST_TEST(read->call_context.retry_probability == 0.25);
+    BOOST_TEST(read->call_context.demand_weight == 3.5);
     BOOST_TEST(read->priority == 3U);
     BOOST_TEST((read->deadline == TimePoint(10s)));  // The remaining time is applied to the clock of the relay.
     BOOST_TEST((read->max_wait == 70ms));
@@ -363,10 +363,10 @@
         result.was_sent = true;
         result.answer.status = 418;
         result.load = {4, 5, 6, 7ms};
-        result.report.below = {"leaf", 0.25, 88ms};
+        result.report.downstream = {"leaf", 0.25, 88ms};
         result.report.load = {30.5, 18, 17.25};
         result.report.time = 22ms;
-        result.report.is_inner = true;
+        result.report.is_internal = true;
         const auto received_result = relay::fromHttp(relay::toHttp(result, {"n2", 8}));
         const auto& back = received_result.result;
         BOOST_TEST(received_result.sender.name == "n2");
@@ -375,14 +375,14 @@
         BOOST_TEST((back.reason == result.reason));
         BOOST_TEST(back.load.waiting == 5U);
         BOOST_TEST((back.load.mean_service_time == 7ms));
-        BOOST_TEST(back.report.below.service == "leaf");
-        BOOST_TEST(back.report.below.level == 0.25);
-        BOOST_TEST((back.report.below.cost == 88ms));
+        BOOST_TEST(back.report.downstream.service == "leaf");
+        BOOST_TEST(back.report.downstream.admit_ratio == 0.25);
+        BOOST_TEST((back.report.downstream.cost == 88ms));
         BOOST_TEST(back.report.load.demand == 30.5);
         BOOST_TEST(back.report.load.capacity == 18);
         BOOST_TEST(back.report.load.busy == 17.25);
         BOOST_TEST((back.report.time == 22ms));
-        BOOST_TEST(back.report.is_inner.value());
+        BOOST_TEST(back.report.is_internal.value());
         BOOST_TEST(back.failed_downstream);
         BOOST_TEST(back.is_retry_paid);
         BOOST_TEST((back.answer.status == 418) == (outcome == relay::RelayOutcome::kAnswered));
--- a/tests/unit/relay/relay_retries_test.cc
+++ b/tests/unit/relay/relay_retries_test.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr decision::RepeatBound kBound{0.2, 40, 10s};
+constexpr decision::RetryLimit kBound{0.2, 40, 10s};
 constexpr std::size_t kRelays = 3;
 constexpr Duration kStep = 500ms;  ///< Each relay receives one request per step.
 constexpr double kRequestsInWindow = kRelays * (kBound.window / kStep);
