--- a/apps/ctl/store_access.cc
+++ b/apps/ctl/store_access.cc
@@ -38,19 +38,19 @@
 }
 
 Result<std::string> StoreAccess::readMetrics(const std::string& address) {
-    AttemptResult answer;
+    AttemptResult response;
     HttpRequest request;
     request.method = "GET";
     request.path = kMetricsPath;
     const auto attempt = http_.send(address, std::move(request), kAnswerTimeout, [&](AttemptResult result) {
-        answer = std::move(result);
+        response = std::move(result);
         loop_.stop();
     });
     loop_.run();
-    if (answer.outcome != AttemptOutcome::kAnswered || answer.answer.status != kHttpOk) {
+    if (response.outcome != AttemptOutcome::kResponded || response.response.status != kHttpOk) {
         return stepError("node.metrics", address, "no answer");
     }
-    return std::move(answer.answer.body);
+    return std::move(response.response.body);
 }
 
 void StoreAccess::wait(Duration duration) {
--- a/apps/ctl/store_access.h
+++ b/apps/ctl/store_access.h
@@ -14,7 +14,7 @@
 namespace dewcrank::ctl {
 
 /// Makes the store of a platform. @param http outlives it.
-using TableStoreFactory = std::function<std::unique_ptr<TableStore>(BackEndPort& http, const std::string& address)>;
+using TableStoreFactory = std::function<std::unique_ptr<TableStore>(HttpTransport& http, const std::string& address)>;
 
 /// Runs the loop until each answer is there.
 class StoreAccess {
--- a/apps/sidecar/sidecar_daemon.cc
+++ b/apps/sidecar/sidecar_daemon.cc
@@ -11,34 +11,34 @@
 
 namespace {
 
-/// Answers that are still in the sockets' buffers get this long to leave.
+/// Time for the socket buffers to be sent before the process exits.
 constexpr Duration kFlushTime = 100ms;
-/// A stopping node ends this much before the platform would kill it.
+/// The node stops this long before the platform's grace period ends.
 constexpr Duration kStopMargin = 500ms;
-constexpr Duration kNodeIdle = 30s;
-constexpr Duration kInstanceIdle = 8s;
-constexpr std::size_t kLargestBody = std::size_t{64} * 1024 * 1024;
-constexpr std::size_t kMostIdle = 128;
-const adapters::HttpLimits kWideLimits{std::size_t{64} * 1024, kLargestBody};
+constexpr Duration kIdleTimeout = 30s;
+constexpr Duration kInstanceMaxIdleTime = 8s;
+constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024 * 1024;
+constexpr std::size_t kMaxIdlePerAddress = 128;
+const adapters::HttpLimits kDefaultLimits{std::size_t{64} * 1024, kMaxBodyBytes};
 
-/// Unique for each start of a process, as far as the system's clock can be trusted.
+/// Start time in microseconds since the epoch; unique per process start unless the system clock is set back.
 std::uint64_t newIncarnation() {
     const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
     return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count());
 }
 
-adapters::ClientOptions nodeClient() {
+adapters::ClientOptions nodeClientOptions() {
     adapters::ClientOptions options;
-    options.idle_per_address = kMostIdle;
-    options.longest_idle = kNodeIdle - 5s;
+    options.idle_per_address = kMaxIdlePerAddress;
+    options.longest_idle = kIdleTimeout - 5s;
     return options;
 }
 
-adapters::ClientOptions instanceClient(const HeaderNames& names) {
+adapters::ClientOptions instanceClientOptions(const HeaderNames& names) {
     adapters::ClientOptions options;
     options.accepts_close_delimited = true;
-    options.idle_per_address = kMostIdle;
-    options.longest_idle = kInstanceIdle;
+    options.idle_per_address = kMaxIdlePerAddress;
+    options.longest_idle = kInstanceMaxIdleTime;
     options.echoed_header = names.request_id;
     return options;
 }
@@ -52,22 +52,22 @@
       process_log_(""),
       log_(loop_, process_log_, {"request_answered", "relayed"}, {}),
       random_(std::random_device{}()),
-      nodes_(loop_, kWideLimits, nodeClient()),
-      instances_(loop_, kWideLimits, instanceClient(platform(nodes_, settings_).header_names)),
-      store_http_(loop_, kWideLimits),
+      nodes_(loop_, kDefaultLimits, nodeClientOptions()),
+      instances_(loop_, kDefaultLimits, instanceClientOptions(platform(nodes_, settings_).header_names)),
+      store_http_(loop_, kDefaultLimits),
       platform_(platform(store_http_, settings_)),
       node_(sidecar::Ports{loop_, random_, nodes_, instances_, *platform_.store, log_}, nodeSettings()),
-      callers_(loop_, kWideLimits, kNodeIdle,
+      callers_(loop_, kDefaultLimits, kIdleTimeout,
                [this](HttpRequest request, const Exchange& exchange) { onCall(std::move(request), exchange); }),
       node_server_(
-          loop_, kWideLimits, kNodeIdle,
+          loop_, kDefaultLimits, kIdleTimeout,
           [this](HttpRequest request, const Exchange& exchange) { onNodeRequest(std::move(request), exchange); }),
       heartbeats_(
-          loop_, kWideLimits, kNodeIdle,
+          loop_, kDefaultLimits, kIdleTimeout,
           [this](HttpRequest request, const Exchange& exchange) { onHeartbeatRequest(std::move(request), exchange); }),
-      readiness_(loop_, kWideLimits, kNodeIdle,
+      readiness_(loop_, kDefaultLimits, kIdleTimeout,
                  [this](const HttpRequest&, const Exchange& exchange) { onReadinessRequest(exchange); }),
-      metrics_server_(loop_, kWideLimits, kNodeIdle,
+      metrics_server_(loop_, kDefaultLimits, kIdleTimeout,
                       [this](const HttpRequest&, const Exchange& exchange) { onMetricsRequest(exchange); }) {
     node_.signalCallEnded().connect([this](const entry::EntryReport& report) { metrics_.onCallEnded(report); });
     node_.table().signalAdopted().connect([this] { applyTableLimits(); });
@@ -87,7 +87,7 @@
     result.header_names = platform_.header_names;
     result.knobs.relay.repeats = settings_.repeats;
     result.knobs.table_lease.revocation = settings_.key_revocation;
-    result.knobs.longest_stop = settings_.stop_grace - kStopMargin;
+    result.knobs.max_stop_time = settings_.stop_grace - kStopMargin;
     return result;
 }
 
@@ -103,11 +103,11 @@
 }
 
 void SidecarDaemon::run() {
-    google::protobuf::SetLogHandler(nullptr);  // What cannot be read is an event of this node's own log.
+    google::protobuf::SetLogHandler(nullptr);  // Parse failures are logged as events of the node.
     loop_.onSignal(SIGTERM, [this] { onTerminate(); });
     loop_.onSignal(SIGINT, [this] { onTerminate(); });
     loop_.onSignal(SIGHUP, [this] { onReload(); });
-    loop_.signalWoken().connect([this](Duration suspended) { node_.onWoken(suspended); });
+    loop_.signalWoken().connect([this](Duration suspended) { node_.onHostResumed(suspended); });
     log_.write(Event("node_started")
                    .with("name", settings_.name)
                    .with("zone", settings_.zone)
@@ -136,8 +136,8 @@
         });
 }
 
-/// Addresses and names are fixed for the life of a process; a change of them is logged and
-/// takes effect at the next start. Nothing is cut.
+/// Reads the settings again and logs whether they changed; addresses and names take effect at the next start. Keeps all
+/// connections open.
 void SidecarDaemon::onReload() {
     runOrReport(
         [&]() -> Result<void> {
@@ -154,39 +154,41 @@
 }
 
 void SidecarDaemon::onCall(HttpRequest request, const Exchange& exchange) {
-    watch(exchange,
-          node_.handleCall(std::move(request), [exchange](HttpAnswer answer) { exchange->reply(std::move(answer)); }));
+    cancelOnDisconnect(exchange, node_.handleCall(std::move(request), [exchange](HttpResponse response) {
+        exchange->reply(std::move(response));
+    }));
 }
 
 void SidecarDaemon::onNodeRequest(HttpRequest request, const Exchange& exchange) {
-    watch(exchange, node_.handleNodeRequest(std::move(request),
-                                            [exchange](HttpAnswer answer) { exchange->reply(std::move(answer)); }));
+    cancelOnDisconnect(exchange, node_.handleNodeRequest(std::move(request), [exchange](HttpResponse response) {
+        exchange->reply(std::move(response));
+    }));
 }
 
-/// Starting nodes may know no other address of this one than that for heartbeats.
+/// Also accepts gossip: a starting node may have only this node's heartbeat address.
 void SidecarDaemon::onHeartbeatRequest(HttpRequest request, const Exchange& exchange) {
     if (request.path == fleet::kGossipPath) {
         onNodeRequest(std::move(request), exchange);
         return;
     }
-    auto answer = platform_.instance_api->handle(request, *this);
-    if (answer.status == kHttpBadRequest) {
-        ++heartbeats_refused_;
-        log_.write(Event("heartbeat_refused").with("path", request.path).with("error", answer.body));
+    auto response = platform_.instance_api->handle(request, *this);
+    if (response.status == kHttpBadRequest) {
+        ++rejected_heartbeats_;
+        log_.write(Event("heartbeat_refused").with("path", request.path).with("error", response.body));
     }
-    exchange->reply(std::move(answer));
+    exchange->reply(std::move(response));
 }
 
-void SidecarDaemon::watch(const Exchange& exchange, sidecar::SidecarNode::CallNumber number) {
-    if (number != 0) {
-        exchange->onCallerLeft([this, number] { node_.callerLeft(number); });
+void SidecarDaemon::cancelOnDisconnect(const Exchange& exchange, sidecar::SidecarNode::CallId call_id) {
+    if (call_id != 0) {
+        exchange->onCallerLeft([this, call_id] { node_.cancelCall(call_id); });
     }
 }
 
 void SidecarDaemon::onReadinessRequest(const Exchange& exchange) {
-    HttpAnswer answer;
-    answer.status = node_.isReady() ? kHttpOk : kHttpServiceUnavailable;
-    exchange->reply(answer);
+    HttpResponse response;
+    response.status = node_.isReady() ? kHttpOk : kHttpServiceUnavailable;
+    exchange->reply(response);
 }
 
 void SidecarDaemon::onMetricsRequest(const Exchange& exchange) {
@@ -194,20 +196,20 @@
     figures.caller_connections = callers_.openConnections();
     figures.instance_connections = instances_.openConnections();
     figures.instance_connections_begun = instances_.connectionsBegun();
-    figures.heartbeats_refused = heartbeats_refused_;
+    figures.heartbeats_refused = rejected_heartbeats_;
     figures.log_lines_dropped = adapters::ProcessLog::droppedLines();
-    HttpAnswer answer;
-    answer.status = kHttpOk;
-    answer.headers.set("Content-Type", "text/plain; version=0.0.4");
-    answer.body = metrics_.text(node_, figures);
-    exchange->reply(answer);
+    HttpResponse response;
+    response.status = kHttpOk;
+    response.headers.set("Content-Type", "text/plain; version=0.0.4");
+    response.body = metrics_.text(node_, figures);
+    exchange->reply(response);
 }
 
 void SidecarDaemon::applyTableLimits() {
     const auto& limits = node_.table().whole().limits();
     adapters::HttpLimits http;
-    http.header_bytes = limits.header_bytes() > 0 ? limits.header_bytes() : kWideLimits.header_bytes;
-    http.body_bytes = limits.body_bytes() > 0 ? limits.body_bytes() : kWideLimits.body_bytes;
+    http.header_bytes = limits.header_bytes() > 0 ? limits.header_bytes() : kDefaultLimits.header_bytes;
+    http.body_bytes = limits.body_bytes() > 0 ? limits.body_bytes() : kDefaultLimits.body_bytes;
     adapters::ServerTimeouts timeouts;
     if (limits.header_timeout_ms() > 0) {
         timeouts.header = std::chrono::milliseconds(limits.header_timeout_ms());
--- a/apps/sidecar/sidecar_daemon.h
+++ b/apps/sidecar/sidecar_daemon.h
@@ -1,5 +1,5 @@
 /// @file
-/// The process around a sidecar node: its loop, listeners, clients and signals.
+/// The sidecar process: runs a SidecarNode with its event loop, listeners, HTTP clients and signal handlers.
 #pragma once
 
 #include <memory>
@@ -19,22 +19,24 @@
 
 namespace dewcrank {
 
-/// What a platform brings: its store, its instances' requests, and the names of its headers.
+/// Platform-specific parts: the store client, the decoder of instance requests, and the header names.
 struct PlatformParts {
     std::unique_ptr<ControlStore> store;
     std::unique_ptr<InstanceApi> instance_api;
     HeaderNames header_names;
 };
 
-/// Makes the parts of a platform. @param http for calls to its store.
-using PlatformFactory = std::function<PlatformParts(BackEndPort& http, const adapters::SidecarSettings& settings)>;
+/// Creates the platform-specific parts. @param http used for calls to the store; outlives the parts.
+using PlatformFactory = std::function<PlatformParts(HttpTransport& http, const adapters::SidecarSettings& settings)>;
 
+/// Owns the node and everything that connects it to the operating system.
 class SidecarDaemon : private InstanceListener {
 public:
+    /// @param settings_file path that is read again on SIGHUP.
     SidecarDaemon(adapters::SidecarSettings settings, std::string settings_file, const PlatformFactory& platform);
 
-    Result<void> listen();
-    void run();
+    Result<void> listen();  ///< Binds all listeners; fails if an address is not available.
+    void run();             ///< Runs until a graceful shutdown after SIGTERM or SIGINT has completed.
 
 private:
     using Exchange = std::shared_ptr<adapters::ServerExchange>;
@@ -44,7 +46,7 @@
     void onCall(HttpRequest request, const Exchange& exchange);
     void onHeartbeatRequest(HttpRequest request, const Exchange& exchange);
     void onNodeRequest(HttpRequest request, const Exchange& exchange);
-    void watch(const Exchange& exchange, sidecar::SidecarNode::CallNumber number);
+    void cancelOnDisconnect(const Exchange& exchange, sidecar::SidecarNode::CallId call_id);
     void onReadinessRequest(const Exchange& exchange);
     void onMetricsRequest(const Exchange& exchange);
     void applyTableLimits();
@@ -58,17 +60,17 @@
     adapters::BoundedLog log_;
     adapters::SidecarMetrics metrics_;
     adapters::SeededRandom random_;
-    adapters::HttpClient nodes_;
-    adapters::HttpClient instances_;
-    adapters::HttpClient store_http_;
+    adapters::HttpClient nodes_;       ///< Client for other nodes.
+    adapters::HttpClient instances_;   ///< Client for the local instance.
+    adapters::HttpClient store_http_;  ///< Client for the store.
     PlatformParts platform_;
     sidecar::SidecarNode node_;
-    adapters::HttpServer callers_;
-    adapters::HttpServer node_server_;
-    adapters::HttpServer heartbeats_;
-    adapters::HttpServer readiness_;
-    adapters::HttpServer metrics_server_;
-    std::uint64_t heartbeats_refused_ = 0;
+    adapters::HttpServer callers_;         ///< Calls of local callers and of the instance.
+    adapters::HttpServer node_server_;     ///< Requests of other nodes.
+    adapters::HttpServer heartbeats_;      ///< Requests of the local instance to its node; also gossip.
+    adapters::HttpServer readiness_;       ///< Readiness probes of the platform.
+    adapters::HttpServer metrics_server_;  ///< Prometheus scrapes.
+    std::uint64_t rejected_heartbeats_ = 0;
     TimerHandle flush_timer_;
 };
 
--- a/sim/network.cc
+++ b/sim/network.cc
@@ -28,7 +28,7 @@
     std::uint64_t from_life = 0;
     std::string address;
     HttpRequest request;
-    BackEndPort::Callback callback;
+    HttpTransport::Callback callback;
     TimerHandle timer;
     bool used_idle_connection = false;
     bool is_connected = false;
@@ -81,7 +81,7 @@
 // Calls --------------------------------------------------------------------
 
 AttemptHandle Network::call(Host& from, const std::string& address, HttpRequest request, Duration timeout,
-                            BackEndPort::Callback callback) {
+                            HttpTransport::Callback callback) {
     auto call = std::make_shared<Call>();
     call->number = ++last_call_;
     call->from = &from;
@@ -110,7 +110,7 @@
     }
     auto& idle = idle_connections_[{&from, address}];
     auto delay = latency(from.zone(), found->second.host->zone());
-    std::erase_if(idle, [this](TimePoint since) { return queue_.now() - since >= kLongestIdle; });
+    std::erase_if(idle, [this](TimePoint since) { return queue_.now() - since >= kMaxIdleTime; });
     if (!idle.empty()) {
         idle.pop_back();
         call->used_idle_connection = true;
@@ -144,11 +144,11 @@
         call->is_delivered = true;
         const auto& live = servers_.at(call->address);
         call->server_number =
-            live.handle(std::move(call->request), [this, call](HttpAnswer reply) { answer(call, std::move(reply)); });
+            live.handle(std::move(call->request), [this, call](HttpResponse reply) { answer(call, std::move(reply)); });
     });
 }
 
-void Network::answer(const CallPtr& call, HttpAnswer reply) {
+void Network::answer(const CallPtr& call, HttpResponse reply) {
     call->is_answered = true;
     const auto& from = call->server_host->zone();
     const auto& to = call->from->zone();
@@ -157,12 +157,12 @@
     }
     const bool is_lost = reply.status == 0;
     auto result = is_lost ? AttemptResult{AttemptOutcome::kUnknown, {}, std::string(kConnectionClosed)}
-                          : AttemptResult{AttemptOutcome::kAnswered, std::move(reply), ""};
+                          : AttemptResult{AttemptOutcome::kResponded, std::move(reply), ""};
     queue_.schedule(queue_.now() + latency(from, to), call->from, [this, call, from, to, result = std::move(result)] {
         if (call->is_over || isCut(from, to)) {
             return;
         }
-        if (result.outcome == AttemptOutcome::kAnswered && !closing_servers_.contains(call->address)) {
+        if (result.outcome == AttemptOutcome::kResponded && !closing_servers_.contains(call->address)) {
             idle_connections_[{call->from, call->address}].push_back(queue_.now());
         }
         finish(call, result);
--- a/sim/network.h
+++ b/sim/network.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "sim/virtual_clock.h"
-#include "src/ports/back_end_port.h"
+#include "src/ports/http_transport.h"
 #include "src/ports/random_source.h"
 
 namespace dewcrank::sim {
@@ -27,7 +27,7 @@
 
 /// A server on a host: takes requests, and notices of callers that have left.
 struct Server {
-    using Reply = std::function<void(HttpAnswer)>;
+    using Reply = std::function<void(HttpResponse)>;
     Host* host = nullptr;
     /// @return a number for `left`.
     std::function<std::uint64_t(HttpRequest, Reply)> handle;
@@ -52,7 +52,7 @@
     void stopAccepting(const std::string& address) { closing_servers_.insert(address); }
     /// One HTTP call, as HttpClient promises it.
     AttemptHandle call(Host& from, const std::string& address, HttpRequest request, Duration timeout,
-                       BackEndPort::Callback callback);
+                       HttpTransport::Callback callback);
     /// A host has died: whoever waits for its answers sees the connection close.
     void onHostKilled(Host& host);
 
@@ -63,7 +63,7 @@
 
     [[nodiscard]] Duration latency(const std::string& from, const std::string& to);
     void deliver(const CallPtr& call);
-    void answer(const CallPtr& call, HttpAnswer answer);
+    void answer(const CallPtr& call, HttpResponse answer);
     void finish(const CallPtr& call, AttemptResult result);
     void finishLater(const CallPtr& call, Duration delay, AttemptResult result);
     void leave(const CallPtr& call);
@@ -84,8 +84,8 @@
 /// Zone name of a zone's callers; "client:north" talks to "north" at the client latency.
 std::string clientZone(const std::string& zone);
 
-/// BackEndPort of one host.
-class SimHttpPort : public BackEndPort {
+/// HttpTransport of one host.
+class SimHttpPort : public HttpTransport {
 public:
     SimHttpPort(Network& network, Host& host) : network_(network), host_(host) {}
     AttemptHandle send(const std::string& address, HttpRequest request, Duration timeout, Callback callback) override {
--- a/sim/sidecar_fleet.cc
+++ b/sim/sidecar_fleet.cc
@@ -81,9 +81,9 @@
     return count;
 }
 
-SidecarFleet::SidecarFleet(std::uint64_t seed, const std::vector<FleetService>& services, const Weakening& weakening,
+SidecarFleet::SidecarFleet(std::uint64_t seed, const std::vector<FleetService>& services, const DisabledMechanisms& disabled,
                            std::vector<wire::Tenant> tenants, std::size_t seeds)
-    : weakening_(weakening),
+    : disabled_(disabled),
       tenants_(std::move(tenants)),
       random_(seed),
       network_(queue_, random_, NetworkOptions{}),
@@ -191,20 +191,20 @@
         settings.seeds.push_back(machines_[seed]->node_address);
     }
     settings.knobs.relay.repeats = kRepeats;
-    settings.knobs.weakening = weakening_;
-    settings.knobs.relay.weakening = weakening_;
-    settings.knobs.gossip.weakening = weakening_;
-    settings.knobs.table_lease.weakening = weakening_;
-    settings.knobs.quota_client.weakening = weakening_;
-    settings.knobs.quota_shards.weakening = weakening_;
+    settings.knobs.disabled = disabled_;
+    settings.knobs.relay.disabled = disabled_;
+    settings.knobs.gossip.disabled = disabled_;
+    settings.knobs.table_lease.disabled = disabled_;
+    settings.knobs.quota_client.disabled = disabled_;
+    settings.knobs.quota_shards.disabled = disabled_;
     settings.knobs.table_lease.revocation = tenants_.empty() ? Duration::zero() : kRevocation;
-    if (weakening_.suspects_nobody) {
+    if (disabled_.crash_quarantine) {
         settings.knobs.quarantine.suspicion = Duration::zero();
     }
     machine.node = std::make_unique<sidecar::SidecarNode>(
         sidecar::Ports{*machine.host, random_, *machine.http, *machine.http, *machine.store, *machine.log}, settings);
     auto* node = machine.node.get();
-    const auto left = [node](std::uint64_t call) { node->callerLeft(call); };
+    const auto left = [node](std::uint64_t call) { node->cancelCall(call); };
     network_.addServer(machine.node_address, Server{machine.host.get(),
                                                     [node](HttpRequest request, const Server::Reply& reply) {
                                                         return node->handleNodeRequest(std::move(request), reply);
@@ -273,7 +273,7 @@
         it.instance->host().wake();
         it.host->wake();
         if (it.node != nullptr && it.host->countsSuspension()) {
-            queue_.schedule(queue_.now(), it.host.get(), [&it, duration] { it.node->onWoken(duration); });
+            queue_.schedule(queue_.now(), it.host.get(), [&it, duration] { it.node->onHostResumed(duration); });
         }
     });
 }
@@ -346,7 +346,7 @@
     message.headers.set(names.request_id, request->id);
     message.headers.set(names.deadline_ms, std::to_string(toMilliseconds(kCallerDeadline)));
     if (!key.empty()) {
-        message.headers.set("Authorization", names.key_scheme + " " + key);
+        message.headers.set("Authorization", names.auth_scheme + " " + key);
         message.headers.set(names.tenant, "forged");
     }
     const auto slot = attempts_.size();
@@ -354,8 +354,8 @@
                                       kCallerDeadline, [this, request](const AttemptResult& result) {
                                           request->ended = queue_.now();
                                           request->not_taken = result.outcome == AttemptOutcome::kNotSent;
-                                          request->status = result.answer.status;
-                                          request->body = result.answer.body;
+                                          request->status = result.response.status;
+                                          request->body = result.response.body;
                                       }));
     if (leaves_after > Duration::zero()) {
         queue_.schedule(queue_.now() + leaves_after, nullptr, [this, request, slot] {
--- a/sim/sidecar_fleet.h
+++ b/sim/sidecar_fleet.h
@@ -73,7 +73,7 @@
     /// @param weakening switched off in every node.
     /// @param tenants of the tables that are put; if there are any, keys are bound to `kRevocation`.
     /// @param seeds first machines whose addresses nodes are told as they start; 0: they are told none.
-    SidecarFleet(std::uint64_t seed, const std::vector<FleetService>& services, const Weakening& weakening = {},
+    SidecarFleet(std::uint64_t seed, const std::vector<FleetService>& services, const DisabledMechanisms& disabled = {},
                  std::vector<wire::Tenant> tenants = {}, std::size_t seeds = 3);
     ~SidecarFleet();
     SidecarFleet(const SidecarFleet&) = delete;
@@ -155,7 +155,7 @@
     };
     void recordTenants();
 
-    Weakening weakening_;
+    DisabledMechanisms disabled_;
     std::vector<wire::Tenant> tenants_;
     std::vector<TenantTerm> tenant_terms_;  ///< Of all tables, in order.
     std::array<std::string, 3> routed_to_;  ///< Of the last table.
--- a/sim/sidecar_instance.cc
+++ b/sim/sidecar_instance.cc
@@ -99,7 +99,7 @@
 
 std::uint64_t SidecarInstance::handle(HttpRequest request, Server::Reply reply) {
     const auto number = ++last_number_;
-    HttpAnswer refusal;
+    HttpResponse refusal;
     if (request.path == kProbePath) {
         refusal.status = kHttpOk;
         refusal.headers.set(names_.instance_id, id_);
@@ -173,8 +173,8 @@
     inner.headers.set(names_.deadline_ms, std::to_string(std::max<std::int64_t>(1, toMilliseconds(given))));
     running.inner = network_.call(host_, node_address_, std::move(inner), std::max<Duration>(given, 1ms),
                                   [this, number, calls_left](const AttemptResult& result) {
-                                      const bool is_ok = result.outcome == AttemptOutcome::kAnswered &&
-                                                         result.answer.status == kHttpOk;
+                                      const bool is_ok = result.outcome == AttemptOutcome::kResponded &&
+                                                         result.response.status == kHttpOk;
                                       if (!is_ok && options_.fails_with_calls) {
                                           failRun(number);
                                       } else {
@@ -183,14 +183,14 @@
                                   });
 }
 
-HttpAnswer SidecarInstance::answerOf(const HttpRequest& request, int status) const {
+HttpResponse SidecarInstance::answerOf(const HttpRequest& request, int status) const {
     const auto id = std::string(request.headers.get(names_.request_id));
-    HttpAnswer answer;
-    answer.status = status;
-    answer.headers.set(names_.request_id, id);
-    answer.headers.set(names_.server_stamp, id_);
-    answer.body = id + " by " + options_.service;
-    return answer;
+    HttpResponse response;
+    response.status = status;
+    response.headers.set(names_.request_id, id);
+    response.headers.set(names_.server_stamp, id_);
+    response.body = id + " by " + options_.service;
+    return response;
 }
 
 void SidecarInstance::failRun(std::uint64_t number) {
@@ -208,12 +208,12 @@
         return;  // The caller hears nothing.
     }
     const bool has_failed = random_.unit() < options_.errors;
-    auto answer = answerOf(running.request, has_failed ? kHttpInternalServerError : kHttpOk);
+    auto response = answerOf(running.request, has_failed ? kHttpInternalServerError : kHttpOk);
     if (random_.unit() < options_.spoiled) {
-        answer.headers.remove(names_.server_stamp);
-        answer.body = "spoiled";
+        response.headers.remove(names_.server_stamp);
+        response.body = "spoiled";
     }
-    running.reply(std::move(answer));
+    running.reply(std::move(response));
 }
 
 }  // namespace dewcrank::sim
--- a/sim/sidecar_instance.h
+++ b/sim/sidecar_instance.h
@@ -100,7 +100,7 @@
     void finishRun(std::uint64_t number);
     void crashAndRestart();
     void failRun(std::uint64_t number);
-    HttpAnswer answerOf(const HttpRequest& request, int status) const;
+    HttpResponse answerOf(const HttpRequest& request, int status) const;
     void beat();
     void leave();
 
--- a/src/adapters/bounded_log.cc
+++ b/src/adapters/bounded_log.cc
@@ -18,7 +18,7 @@
     return routine_events_.contains(name) ? routine_ : other_;
 }
 
-bool BoundedLog::takes(std::string_view name) {
+bool BoundedLog::accepts(std::string_view name) {
     const auto& use = useOf(name);
     const bool is_taken = use.lines < use.bound;
     left_out_ += is_taken ? 0 : 1;
--- a/src/adapters/bounded_log.h
+++ b/src/adapters/bounded_log.h
@@ -24,7 +24,7 @@
 public:
     BoundedLog(Clock& clock, EventLog& log, std::set<std::string, std::less<>> routine_events, LogBounds bounds);
     void write(const Event& event) override;
-    [[nodiscard]] bool takes(std::string_view name) override;
+    [[nodiscard]] bool accepts(std::string_view name) override;
 
 private:
     /// What has been let through of one kind of events in the present second.
--- a/src/adapters/client_connection.cc
+++ b/src/adapters/client_connection.cc
@@ -111,7 +111,7 @@
     return taken;
 }
 
-bool ClientConnection::isStray(const HttpAnswer& answer) const {
+bool ClientConnection::isStray(const HttpResponse& answer) const {
     const auto echo = answer.headers.get(client_.options_.echoed_header);
     return !expected_echo_.empty() && !echo.empty() && echo != expected_echo_;
 }
--- a/src/adapters/client_connection.h
+++ b/src/adapters/client_connection.h
@@ -18,7 +18,7 @@
     public:
         virtual ~Listener() = default;
         virtual void onConnected() = 0;
-        virtual void onAnswer(HttpAnswer answer) = 0;
+        virtual void onAnswer(HttpResponse answer) = 0;
         /// The connection has ended or is of no more use.
         virtual void onBroken(const std::string& reason) = 0;
     };
@@ -45,7 +45,7 @@
     std::size_t onBytes(std::string_view bytes) override;
     void onEnded(StreamEnd end) override;
     void complete();
-    [[nodiscard]] bool isStray(const HttpAnswer& answer) const;
+    [[nodiscard]] bool isStray(const HttpResponse& answer) const;
     void broken(const std::string& reason);
 
     HttpClient& client_;
--- a/src/adapters/http_client.cc
+++ b/src/adapters/http_client.cc
@@ -46,14 +46,14 @@
         timer_ = client_.loop_.startTimer(timeout_, [this] { onTimeout(); });
     }
 
-    void onAnswer(HttpAnswer answer) override {
+    void onAnswer(HttpResponse answer) override {
         auto connection = std::move(connection_);
         if (connection->isReusable()) {
             client_.keepConnection(std::move(connection));
         } else {
             client_.dropLater(std::move(connection));
         }
-        finish({AttemptOutcome::kAnswered, std::move(answer), ""});
+        finish({AttemptOutcome::kResponded, std::move(answer), ""});
     }
 
     void onBroken(const std::string& reason) override {
--- a/src/adapters/http_client.h
+++ b/src/adapters/http_client.h
@@ -9,7 +9,7 @@
 
 #include "src/adapters/event_loop.h"
 #include "src/adapters/http_parser.h"
-#include "src/ports/back_end_port.h"
+#include "src/ports/http_transport.h"
 
 namespace dewcrank::adapters {
 
@@ -22,7 +22,7 @@
     bool accepts_close_delimited = false;
     std::size_t idle_per_address = 64;
     /// Idle connections are not used again after this time, or the peer's own if that is less.
-    Duration longest_idle = kLongestIdle;
+    Duration longest_idle = kMaxIdleTime;
     /// Header that an answer echoes from its request. An answer with another value belongs to
     /// an earlier request: it is dropped, and the next one is awaited. Empty: not checked.
     std::string echoed_header;
@@ -35,7 +35,7 @@
 /// answer counts as whole only if its end is marked: by length, by chunks, because its status
 /// has no body, or (if the options say so) by the clean end of the connection. Bytes that come
 /// on an idle connection, or behind an answer, end that connection.
-class HttpClient : public BackEndPort {
+class HttpClient : public HttpTransport {
 public:
     HttpClient(EventLoop& loop, HttpLimits limits, ClientOptions options = {});
     ~HttpClient() override;
--- a/src/adapters/http_parser.cc
+++ b/src/adapters/http_parser.cc
@@ -265,8 +265,8 @@
     return request;
 }
 
-HttpAnswer HttpMessageParser::takeAnswer() {
-    HttpAnswer answer;
+HttpResponse HttpMessageParser::takeAnswer() {
+    HttpResponse answer;
     answer.status = static_cast<int>(parser_.status_code);
     answer.headers = std::move(headers_);
     answer.body = std::move(body_);
--- a/src/adapters/http_parser.h
+++ b/src/adapters/http_parser.h
@@ -56,7 +56,7 @@
     [[nodiscard]] bool expectsContinue() const;
 
     [[nodiscard]] HttpRequest takeRequest();
-    [[nodiscard]] HttpAnswer takeAnswer();
+    [[nodiscard]] HttpResponse takeAnswer();
 
 private:
     static HttpMessageParser* self(http_parser* parser) { return static_cast<HttpMessageParser*>(parser->data); }
--- a/src/adapters/http_server.cc
+++ b/src/adapters/http_server.cc
@@ -31,7 +31,7 @@
 ServerExchange::ServerExchange(ServerConnection* connection, std::string method, bool keeps_alive)
     : connection_(connection), method_(std::move(method)), keeps_alive_(keeps_alive) {}
 
-void ServerExchange::reply(HttpAnswer answer) {
+void ServerExchange::reply(HttpResponse answer) {
     if (connection_ == nullptr || is_answered_) {
         return;
     }
--- a/src/adapters/http_server.h
+++ b/src/adapters/http_server.h
@@ -30,7 +30,7 @@
     ServerExchange(const ServerExchange&) = delete;
     ServerExchange& operator=(const ServerExchange&) = delete;
 
-    void reply(HttpAnswer answer);
+    void reply(HttpResponse answer);
     /// Calls back once if the caller closes its connection before the answer.
     void onCallerLeft(std::function<void()> callback);
     /// Closes the connection without any answer, as a failing server would.
@@ -42,7 +42,7 @@
     std::string method_;
     bool keeps_alive_;
     bool is_answered_ = false;
-    HttpAnswer answer_;
+    HttpResponse answer_;
     std::function<void()> caller_left_;
 };
 
--- a/src/adapters/sidecar_metrics.cc
+++ b/src/adapters/sidecar_metrics.cc
@@ -10,7 +10,7 @@
 
 const char* endText(entry::EntryEnd end) {
     switch (end) {
-        case entry::EntryEnd::kAnswered:
+        case entry::EntryEnd::kResponded:
             return "answered";
         case entry::EntryEnd::kRefused:
             return "refused";
@@ -71,7 +71,7 @@
     const auto window = node.repeatWindow();
     setGauge("dewcrank_repeats_window", "Repeats in the last window, inherited ones included.", window.repeats);
     setGauge("dewcrank_repeats_window_allowed", "This relay's part of the bound in the last window.", window.allowed);
-    setGauge("dewcrank_least_level", "Least level of a service that this node calls.", node.leastBottleneck().level);
+    setGauge("dewcrank_least_level", "Least level of a service that this node calls.", node.tightestBottleneck().level);
     setGauge("dewcrank_table_version", "Version of the table in force.", static_cast<double>(node.table().version()));
     const auto age = node.tableAge();
     setGauge("dewcrank_table_age_seconds", "Since the table was known to be the newest; -1: never.",
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,6 +1,6 @@
 /// @file
-/// Errors carry the step that failed and the peer (file, address, row) at which
-/// it failed. They travel in boost::leaf::result.
+/// Error type of the project. An error names the failed step and the peer (file, address, row), and is passed in
+/// boost::leaf::result.
 #pragma once
 
 #include <boost/leaf.hpp>
@@ -8,26 +8,26 @@
 
 namespace dewcrank {
 
-/// One failure: what was being done, with whom, and what went wrong.
+/// A failed step.
 struct StepError {
-    std::string step;     ///< What was being done, such as "settings" or "table.row".
-    std::string peer;     ///< With whom: a file with its line, an address, a row.
-    std::string message;  ///< What went wrong, and what is allowed.
+    std::string step;     ///< The operation, such as "settings" or "table.row".
+    std::string peer;     ///< What the operation was applied to: a file with its line, an address, a row.
+    std::string message;  ///< What went wrong, and which values are allowed.
 
-    /// The error as one line for people.
+    /// The error as one line: "step: peer: message".
     [[nodiscard]] std::string text() const { return step + ": " + peer + ": " + message; }
 };
 
 template <typename Value>
 using Result = boost::leaf::result<Value>;
 
-/// Makes a failed result from its three parts.
+/// Creates an error to be returned as a failed Result.
 inline boost::leaf::error_id stepError(std::string step, std::string peer, std::string message) {
     return boost::leaf::new_error(StepError{std::move(step), std::move(peer), std::move(message)});
 }
 
-/// Runs `body`, which returns a Result; gives the error to `on_error` if it fails.
-/// @return true if the body succeeded.
+/// Runs `body`, which returns a Result, and passes the StepError to `on_error` if `body` fails.
+/// @return true if `body` succeeded.
 template <typename Body, typename OnError>
 bool runOrReport(Body&& body, OnError&& on_error) {
     return boost::leaf::try_handle_all(
--- a/src/base/field_list.cc
+++ b/src/base/field_list.cc
@@ -11,8 +11,8 @@
 constexpr int kHexadecimal = 16;
 constexpr std::size_t kEscapeDigits = 2;
 constexpr std::string_view kDigits = "0123456789abcdef";
-/// Stands for an empty text.
-constexpr std::string_view kEmpty = "%";
+/// Encodes an empty string.
+constexpr std::string_view kEmptyString = "%";
 
 bool isPlain(char character) {
     return character > ' ' && character < '\x7f' && character != kEscape;
@@ -20,16 +20,16 @@
 
 }  // namespace
 
-void FieldWriter::begin() {
+void FieldWriter::addSeparator() {
     if (!text_.empty()) {
         text_ += kSeparator;
     }
 }
 
 FieldWriter& FieldWriter::add(std::string_view text) {
-    begin();
+    addSeparator();
     if (text.empty()) {
-        text_ += kEmpty;
+        text_ += kEmptyString;
     }
     for (const char character : text) {
         if (isPlain(character)) {
@@ -45,33 +45,33 @@
 }
 
 FieldWriter& FieldWriter::add(std::int64_t number) {
-    begin();
+    addSeparator();
     text_ += std::to_string(number);
     return *this;
 }
 
 std::string_view FieldReader::next() {
-    const auto end = left_.find(kSeparator);
-    const auto field = left_.substr(0, end);
-    left_ = end == std::string_view::npos ? std::string_view() : left_.substr(end + 1);
+    const auto end = remaining_.find(kSeparator);
+    const auto field = remaining_.substr(0, end);
+    remaining_ = end == std::string_view::npos ? std::string_view() : remaining_.substr(end + 1);
     return field;
 }
 
 std::string FieldReader::text() {
     const auto field = next();
     std::string text;
-    for (std::size_t at = 0; at < field.size(); ++at) {
-        if (field[at] != kEscape) {
-            text += field[at];
+    for (std::size_t i = 0; i < field.size(); ++i) {
+        if (field[i] != kEscape) {
+            text += field[i];
             continue;
         }
-        const auto digits = field.substr(at + 1, kEscapeDigits);
+        const auto digits = field.substr(i + 1, kEscapeDigits);
         int value = 0;
         std::from_chars(digits.data(), digits.data() + digits.size(), value, kHexadecimal);
         if (!digits.empty()) {
             text += static_cast<char>(value);
         }
-        at += digits.size();
+        i += digits.size();
     }
     return text;
 }
--- a/src/base/field_list.h
+++ b/src/base/field_list.h
@@ -1,6 +1,5 @@
 /// @file
-/// Several values in one header: in a fixed order, parted by blanks. A header for each would cost
-/// more to write and to read than what they say.
+/// Codec for several values in one HTTP header: positional fields, separated by single spaces.
 #pragma once
 
 #include <cstdint>
@@ -9,30 +8,32 @@
 
 namespace dewcrank {
 
-/// Writes values one after the other. Texts may hold any bytes: what is not a visible character of
-/// ASCII is written as `%` and two hexadecimal digits.
+/// Encodes a field list. Strings may hold any bytes: everything but visible ASCII is percent-encoded as `%` and two
+/// hexadecimal digits.
 class FieldWriter {
 public:
     FieldWriter& add(std::string_view text);
     FieldWriter& add(std::int64_t number);
+    /// @return the encoded list; leaves the writer empty.
     [[nodiscard]] std::string take() { return std::move(text_); }
 
 private:
-    void begin();
+    void addSeparator();
     std::string text_;
 };
 
-/// Reads them back. Values that are missing read as empty texts and zeros, and further ones are
-/// left alone: a later version may add to the end.
+/// Decodes a field list. Missing fields read as an empty string or 0, and surplus fields are ignored, so that a later
+/// version may append fields.
 class FieldReader {
 public:
-    explicit FieldReader(std::string_view list) : left_(list) {}
-    std::string text();
-    std::int64_t number();
+    /// @param list must outlive the reader.
+    explicit FieldReader(std::string_view list) : remaining_(list) {}
+    std::string text();     ///< Decodes the next field as a string.
+    std::int64_t number();  ///< Decodes the next field as a decimal number; 0 if the field is not one.
 
 private:
     std::string_view next();
-    std::string_view left_;
+    std::string_view remaining_;
 };
 
 }  // namespace dewcrank
--- a/src/base/header_names.h
+++ b/src/base/header_names.h
@@ -1,5 +1,5 @@
 /// @file
-/// Names of the headers that callers and instances speak. A platform may have its own.
+/// Names of the HTTP headers exchanged with callers and instances. A platform may override the names.
 #pragma once
 
 #include <string>
@@ -8,15 +8,15 @@
 
 struct HeaderNames {
     std::string request_id = "x-request-id";
-    std::string deadline_ms = "x-deadline-ms";              ///< Milliseconds that the caller will wait.
-    std::string expected_instance = "x-expected-instance";  ///< Any other instance refuses.
-    std::string not_executed = "x-not-executed";            ///< In an answer: the request was not run.
-    std::string instance_id = "x-instance-id";              ///< In an answer of the wrong instance.
-    std::string caller_service = "x-caller-service";        ///< Service beside the entry node.
-    std::string server_load = "x-server-load";              ///< "running,waiting,slots".
-    std::string tenant = "x-tenant";                        ///< Set by the entry: who calls.
-    std::string key_scheme = "Bearer";                      ///< Of the `Authorization` that holds a caller's key.
-    std::string server_stamp = "x-server-stamp";            ///< Signature in each answer of an instance.
+    std::string deadline_ms = "x-deadline-ms";              ///< Request: remaining time of the caller, in milliseconds.
+    std::string expected_instance = "x-expected-instance";  ///< Request: only the instance with this id executes it.
+    std::string not_executed = "x-not-executed";            ///< Response: the request was not executed.
+    std::string instance_id = "x-instance-id";              ///< Response: id of the instance, if another was expected.
+    std::string caller_service = "x-caller-service";        ///< Request: service local to the entry node.
+    std::string server_load = "x-server-load";              ///< Response: "running,waiting,slots" of the instance.
+    std::string tenant = "x-tenant";                        ///< Request: the caller's tenant, set by the entry.
+    std::string auth_scheme = "Bearer";           ///< Scheme of the `Authorization` header with a caller's key.
+    std::string server_stamp = "x-server-stamp";  ///< Response: signature of the instance; absent if not written by it.
 };
 
 }  // namespace dewcrank
--- a/src/base/http_message.cc
+++ b/src/base/http_message.cc
@@ -69,8 +69,8 @@
 }
 
 void removeHopByHopHeaders(Headers& headers) {
-    for (const auto& named : splitList(std::string(headers.get("connection")))) {
-        headers.remove(named);
+    for (const auto& name : splitList(std::string(headers.get("connection")))) {
+        headers.remove(name);
     }
     for (const auto name : kHopByHopHeaders) {
         headers.remove(name);
--- a/src/base/http_message.h
+++ b/src/base/http_message.h
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP requests and answers as the node sees them: whole, with their bodies.
+/// HTTP requests and responses, complete with their bodies.
 #pragma once
 
 #include <string>
@@ -9,20 +9,20 @@
 
 namespace dewcrank {
 
-/// One header line.
+/// A header field (RFC 9110, section 5).
 struct Header {
     std::string name;
     std::string value;
 };
 
-/// Header lines in order. Names compare without regard to case.
+/// Header fields in the order received. Names are case-insensitive.
 class Headers {
 public:
     void add(std::string name, std::string value) { lines_.push_back({std::move(name), std::move(value)}); }
     /// Sets a header, replacing every line of that name.
     void set(std::string_view name, std::string value);
-    void remove(std::string_view name);
-    /// First value of `name`, or an empty text.
+    void remove(std::string_view name);  ///< Removes every line of that name.
+    /// @return the first value of `name`, or an empty string.
     [[nodiscard]] std::string_view get(std::string_view name) const;
     [[nodiscard]] bool has(std::string_view name) const;
     [[nodiscard]] const std::vector<Header>& lines() const { return lines_; }
@@ -33,7 +33,7 @@
     std::vector<Header> lines_;
 };
 
-/// A request, whole.
+/// A complete request.
 struct HttpRequest {
     std::string method;
     std::string path;  ///< Path with query, as received.
@@ -41,18 +41,17 @@
     std::string body;
 };
 
-/// An answer, whole.
-struct HttpAnswer {
+/// A complete response.
+struct HttpResponse {
     int status = 0;
     Headers headers;
     std::string body;
 };
 
-/// True if two header names are the same without regard to case.
+/// Compares two header names, ignoring case.
 bool sameHeaderName(std::string_view left, std::string_view right);
 
-/// Removes the headers that belong to one connection only (RFC 9110, section 7.6.1),
-/// those that the `Connection` header names included.
+/// Removes the hop-by-hop headers (RFC 9110, section 7.6.1), including those listed in the `Connection` header.
 void removeHopByHopHeaders(Headers& headers);
 
 }  // namespace dewcrank
--- a/src/base/http_status.h
+++ b/src/base/http_status.h
@@ -1,5 +1,5 @@
 /// @file
-/// Status codes of HTTP (RFC 9110, section 15) that are used here.
+/// HTTP status codes (RFC 9110, section 15).
 #pragma once
 
 namespace dewcrank {
@@ -21,6 +21,7 @@
 inline constexpr int kHttpServiceUnavailable = 503;
 inline constexpr int kHttpGatewayTimeout = 504;
 
+/// @return true for 2xx.
 inline constexpr bool isSuccess(int status) {
     return status / 100 == 2;
 }
--- a/src/base/recent_maximum.h
+++ b/src/base/recent_maximum.h
@@ -1,5 +1,5 @@
 /// @file
-/// The largest of a quantity's values within a window of time.
+/// Maximum of a step function over a sliding time window.
 #pragma once
 
 #include <algorithm>
@@ -10,20 +10,22 @@
 
 namespace dewcrank {
 
-/// A value holds from when it is set until the next one is, and counts for a window after that.
+/// Tracks the maximum of a value over the last `window`. A value is current from its set() until the next set(), and
+/// counts for another `window` after that. Times must not decrease.
 class RecentMaximum {
 public:
     RecentMaximum(Duration window, std::size_t value) : window_(window), value_(value) {}
 
     void set(TimePoint now, std::size_t value) {
         if (value < value_) {
-            keepPast(now);
+            addPast(now);
         }
         value_ = value;
     }
 
+    /// @return the maximum over [now - window, now].
     [[nodiscard]] std::size_t at(TimePoint now) {
-        while (!past_.empty() && now - past_.front().left > window_) {
+        while (!past_.empty() && now - past_.front().replaced_at > window_) {
             past_.pop_front();
         }
         return past_.empty() ? value_ : std::max(value_, past_.front().value);
@@ -32,11 +34,11 @@
 private:
     struct Past {
         std::size_t value;
-        TimePoint left;
+        TimePoint replaced_at;
     };
 
-    /// Earlier ones that are no larger are covered by this one.
-    void keepPast(TimePoint now) {
+    /// Moves the current value to past_ and drops the past values that can no longer be the maximum.
+    void addPast(TimePoint now) {
         while (!past_.empty() && past_.back().value <= value_) {
             past_.pop_back();
         }
@@ -45,7 +47,7 @@
 
     Duration window_;
     std::size_t value_;
-    std::deque<Past> past_;  ///< In order of time; each value is smaller than the one before.
+    std::deque<Past> past_;  ///< Monotonic queue: ordered by time, values strictly decreasing.
 };
 
 }  // namespace dewcrank
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,5 +1,5 @@
 /// @file
-/// Time as the whole code base counts it: microseconds on a monotonic clock.
+/// Time types of the project: microseconds on a monotonic clock.
 #pragma once
 
 #include <chrono>
@@ -13,7 +13,7 @@
 using std::chrono_literals::operator""s;
 using std::chrono_literals::operator""us;
 
-/// Whole milliseconds of a duration, rounded down.
+/// Whole milliseconds, rounded toward zero.
 inline std::int64_t toMilliseconds(Duration duration) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
@@ -22,7 +22,7 @@
     return std::chrono::duration<double>(duration).count();
 }
 
-/// Rounded down to whole microseconds.
+/// Whole microseconds, rounded toward zero.
 inline Duration fromSeconds(double seconds) {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
--- a/src/entry/access_check.cc
+++ b/src/entry/access_check.cc
@@ -75,7 +75,7 @@
     }
     std::vector<std::string> others;
     for (const auto& line : headers->lines()) {
-        if (sameHeaderName(line.name, kAuthorization) && !credentialsIn(line.value, names.key_scheme)) {
+        if (sameHeaderName(line.name, kAuthorization) && !credentialsIn(line.value, names.auth_scheme)) {
             others.push_back(line.value);
         }
     }
--- a/src/entry/call_intake.cc
+++ b/src/entry/call_intake.cc
@@ -37,7 +37,7 @@
         return;
     }
     auto access = checkAccess(services_.clock.now(), services_.table, services_.lease, *route,
-                              keyIn(request.headers, services_.names.key_scheme), services_.access);
+                              keyIn(request.headers, services_.names.auth_scheme), services_.access);
     if (access.refusal) {
         callback(std::move(request), TurnedAway{*access.refusal, route});
         return;
@@ -66,7 +66,7 @@
         return;
     }
     auto& it = ended.mapped();
-    switch (result.answer) {
+    switch (result.response) {
         case quota::TokenAnswer::kGranted:
             it.admitted.token = result.token;
             callback(std::move(it.request), std::move(it.admitted));
--- a/src/entry/entry_call.cc
+++ b/src/entry/entry_call.cc
@@ -119,10 +119,10 @@
 }
 
 void EntryCall::onRelayAnswer(AttemptResult result) {
-    if (result.outcome == AttemptOutcome::kAnswered) {
-        auto received = relay::fromHttp(std::move(result.answer));
+    if (result.outcome == AttemptOutcome::kResponded) {
+        auto received = relay::fromHttp(std::move(result.response));
         const bool is_its_own = received.sender.name.empty() || received.sender.name == relay_;
-        if (!is_its_own && !services_.weakening.trusts_any_answer) {
+        if (!is_its_own && !services_.disabled.peer_name_check) {
             onDisplaced(received);
             return;
         }
@@ -191,14 +191,14 @@
         services_.selector.onOutcome(relay, has_failed);
     }
     switch (result.outcome) {
-        case relay::RelayOutcome::kAnswered:
+        case relay::RelayOutcome::kResponded:
             logAnswered(result, relay);
             if (has_failed && mayRepeatFailure(result)) {
-                failure_ = std::move(result.answer);
+                failure_ = std::move(result.response);
                 sendToNext();
                 return;
             }
-            finish(std::move(result.answer), EntryEnd::kAnswered, "none");
+            finish(std::move(result.response), EntryEnd::kResponded, "none");
             return;
         case relay::RelayOutcome::kNotRun:
             onNotRun(result);
@@ -210,7 +210,7 @@
 
 /// An instance's 504 says that the time was up, which tells nothing of the instance.
 bool EntryCall::isOwnFailure(const relay::RelayResult& result) {
-    return result.outcome == relay::RelayOutcome::kUnknown || result.answer.status == kHttpInternalServerError;
+    return result.outcome == relay::RelayOutcome::kUnknown || result.response.status == kHttpInternalServerError;
 }
 
 /// Another instance may do better, unless a call below has failed: that was tried elsewhere where it
@@ -244,7 +244,7 @@
 
 void EntryCall::onUnknown() {
     may_have_run_ = true;
-    const bool may_repeat = plan_.route->is_repeatable() || services_.weakening.repeats_unrepeatable;
+    const bool may_repeat = plan_.route->is_repeatable() || services_.disabled.idempotency_check;
     if (is_quarantined_ || !may_repeat || offered_ >= plan_.route->max_attempts()) {
         giveUp(is_quarantined_ ? "quarantined" : "no-whole-answer", false);
         return;
@@ -293,24 +293,24 @@
 void EntryCall::giveUp(const char* reason, bool is_timeout) {
     stopAttempt();
     if (failure_) {
-        finish(std::move(*failure_), EntryEnd::kAnswered, "none");
+        finish(std::move(*failure_), EntryEnd::kResponded, "none");
         return;
     }
-    HttpAnswer answer;
-    answer.headers.set("Content-Type", "text/plain");
-    answer.body = std::string(reason) + "\n";
-    if (may_have_run_ && !services_.weakening.promises_without_proof) {
-        answer.status = is_timeout ? kHttpGatewayTimeout : kHttpBadGateway;
+    HttpResponse response;
+    response.headers.set("Content-Type", "text/plain");
+    response.body = std::string(reason) + "\n";
+    if (may_have_run_ && !services_.disabled.not_executed_check) {
+        response.status = is_timeout ? kHttpGatewayTimeout : kHttpBadGateway;
     } else {
-        answer.status = kHttpServiceUnavailable;
-        answer.headers.set("Retry-After", secondsText(retryAfter()));
+        response.status = kHttpServiceUnavailable;
+        response.headers.set("Retry-After", secondsText(retryAfter()));
     }
-    logGivenUp(reason, answer.status);
-    finish(std::move(answer), may_have_run_ ? EntryEnd::kUnknown : EntryEnd::kRefused, reason);
+    logGivenUp(reason, response.status);
+    finish(std::move(response), may_have_run_ ? EntryEnd::kUnknown : EntryEnd::kRefused, reason);
 }
 
 void EntryCall::logGivenUp(const char* reason, int status) const {
-    if (!services_.log.takes("request_given_up")) {
+    if (!services_.log.accepts("request_given_up")) {
         return;
     }
     services_.log.write(Event("request_given_up")
@@ -326,7 +326,7 @@
 }
 
 void EntryCall::logAnswered(const relay::RelayResult& result, const std::string& relay) const {
-    if (!services_.log.takes("request_answered")) {
+    if (!services_.log.accepts("request_answered")) {
         return;
     }
     services_.log.write(Event("request_answered")
@@ -334,17 +334,17 @@
                             .with("route", plan_.route->name())
                             .with("service", plan_.service)
                             .with("relay", relay)
-                            .with("status", result.answer.status)
+                            .with("status", result.response.status)
                             .with("offered", offered_)
                             .with("elapsed_ms", toMilliseconds(services_.clock.now() - began_))
                             .with("table", services_.table.version()));
 }
 
 /// The end callback may not destroy this call before it returns.
-void EntryCall::finish(HttpAnswer answer, EntryEnd end, const char* reason) {
+void EntryCall::finish(HttpResponse response, EntryEnd end, const char* reason) {
     deadline_timer_.reset();
-    const int status = answer.status;
-    reply_(std::move(answer));
+    const int status = response.status;
+    reply_(std::move(response));
     end_({end, plan_.route->name(), plan_.service, reason, services_.clock.now() - began_, status});
 }
 
--- a/src/entry/entry_call.h
+++ b/src/entry/entry_call.h
@@ -10,13 +10,13 @@
 
 #include "src/base/header_names.h"
 #include "src/base/http_message.h"
-#include "src/base/weakening.h"
+#include "src/base/disabled_mechanisms.h"
 #include "src/entry/relay_selector.h"
 #include "src/fleet/failure_detector.h"
 #include "src/fleet/gossip.h"
 #include "src/policy/route_table.h"
 #include "src/policy/table_lease.h"
-#include "src/ports/back_end_port.h"
+#include "src/ports/http_transport.h"
 #include "src/ports/clock.h"
 #include "src/ports/event_log.h"
 #include "src/ports/random_source.h"
@@ -68,7 +68,7 @@
     Clock& clock;
     RandomSource& random;
     EventLog& log;
-    BackEndPort& nodes;
+    HttpTransport& nodes;
     RelaySelector& selector;
     relay::RelayService& own_relay;
     fleet::NodeDirectory& directory;
@@ -82,15 +82,15 @@
     std::function<void(const EntryPlan&, const std::string& relay, const relay::RelayResult&)> observe;
     /// True if relays report that less than all is to be asked of the service, or of one below it.
     std::function<bool(const EntryPlan&)> is_overloaded;
-    Weakening weakening;  ///< Tests only.
+    DisabledMechanisms disabled;  ///< Tests only.
 };
 
 /// How a call ended at its entry.
-enum class EntryEnd { kAnswered, kRefused, kUnknown };
+enum class EntryEnd { kResponded, kRefused, kUnknown };
 
 /// What a call tells its node when it ends.
 struct EntryReport {
-    EntryEnd end = EntryEnd::kAnswered;
+    EntryEnd end = EntryEnd::kResponded;
     std::string route;
     std::string service;
     std::string reason;  ///< "none" if it was answered.
@@ -106,7 +106,7 @@
 /// to come back if the request has provably not run; 502 or 504 if that is not known.
 class EntryCall {
 public:
-    using ReplyCallback = std::function<void(HttpAnswer)>;
+    using ReplyCallback = std::function<void(HttpResponse)>;
     using EndCallback = std::function<void(const EntryReport&)>;
 
     EntryCall(EntryServices& services, EntryPlan plan, ReplyCallback reply, EndCallback end);
@@ -140,7 +140,7 @@
     void giveUp(const char* reason, bool is_timeout);
     [[nodiscard]] Duration retryAfter() const;
     void stopAttempt();
-    void finish(HttpAnswer answer, EntryEnd end, const char* reason);
+    void finish(HttpResponse response, EntryEnd end, const char* reason);
     void logGivenUp(const char* reason, int status) const;
     void logAnswered(const relay::RelayResult& result, const std::string& relay) const;
     [[nodiscard]] Duration remaining() const { return plan_.deadline - services_.clock.now(); }
@@ -165,7 +165,7 @@
     bool has_met_stopping_only_ = false;  ///< Each relay that was asked was stopping.
     bool has_awaited_ = false;            ///< That an instance comes back.
     bool may_have_run_ = false;
-    std::optional<HttpAnswer> failure_;  ///< An instance's own, given if no other instance does better.
+    std::optional<HttpResponse> failure_;  ///< An instance's own, given if no other instance does better.
     bool is_overload_ = false;           ///< Refused for want of room, or of instances that could be spared.
     bool is_suspect_ = false;            ///< An instance has ended while it ran it.
     bool is_quarantined_ = false;        ///< It is kept from the instances.
--- a/src/entry/relay_selector.cc
+++ b/src/entry/relay_selector.cc
@@ -44,7 +44,7 @@
         // A full service is one queue, whatever the zone.
         cost += knobs_.other_zone_cost * std::clamp(2 * (1 - cost), 0.0, 1.0);
     }
-    cost += knobs_.failure_cost * seen.failures.fadedAt(now);
+    cost += knobs_.failure_cost * seen.failures.decayedMean(now);
     if (candidate.is_suspected) {
         cost += knobs_.suspected_cost;
     }
--- a/src/fleet/gossip.cc
+++ b/src/fleet/gossip.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-Gossip::Gossip(Clock& clock, RandomSource& random, EventLog& log, BackEndPort& nodes, NodeDirectory& directory,
+Gossip::Gossip(Clock& clock, RandomSource& random, EventLog& log, HttpTransport& nodes, NodeDirectory& directory,
                policy::RouteTable& table, policy::TableLease& lease, GossipKnobs knobs)
     : clock_(clock),
       random_(random),
@@ -129,19 +129,19 @@
             told.push_back(name);
         }
     }
-    send(node, rumor, [this, told = std::move(told)](const wire::Gossip* answer) { onTold(told, answer); });
+    send(node, rumor, [this, told = std::move(told)](const wire::Gossip* response) { onTold(told, response); });
 }
 
-void Gossip::onTold(const std::vector<std::string>& names, const wire::Gossip* answer) {
-    if (answer == nullptr) {
+void Gossip::onTold(const std::vector<std::string>& names, const wire::Gossip* response) {
+    if (response == nullptr) {
         return;
     }
-    for (const auto place : answer->known()) {
+    for (const auto place : response->known()) {
         if (place < names.size()) {
             rumors_.onUseless(names[place]);
         }
     }
-    if (answer->table_version() >= table_.version()) {
+    if (response->table_version() >= table_.version()) {
         rumors_.onUseless(kTableRumor);
     }
 }
@@ -166,8 +166,8 @@
         exchange.set_is_table_wanted(true);
         asked_for_table_.insert(name);
     }
-    send(name, exchange, [this, name](const wire::Gossip* answer) {
-        if (answer != nullptr && answer->is_digest_wanted()) {
+    send(name, exchange, [this, name](const wire::Gossip* response) {
+        if (response != nullptr && response->is_digest_wanted()) {
             asked_for_table_.erase(name);
             sendDigest(name);
         } else {
@@ -186,17 +186,17 @@
     for (auto& version : directory_.digest()) {
         *exchange.add_digest() = std::move(version);
     }
-    send(name, exchange, [this, name](const wire::Gossip* answer) {
+    send(name, exchange, [this, name](const wire::Gossip* response) {
         exchangeEnded(name);
-        if (answer != nullptr && answer->wanted_size() > 0) {
-            sendWanted(name, *answer);
+        if (response != nullptr && response->wanted_size() > 0) {
+            sendWanted(name, *response);
         }
     });
 }
 
-void Gossip::sendWanted(const std::string& name, const wire::Gossip& answer) {
+void Gossip::sendWanted(const std::string& name, const wire::Gossip& response) {
     auto reply = message();
-    for (const auto& wanted : answer.wanted()) {
+    for (const auto& wanted : response.wanted()) {
         if (const auto* record = directory_.record(wanted)) {
             *reply.add_records() = *record;
         }
@@ -211,18 +211,18 @@
 }
 
 void Gossip::contact(const std::string& address, std::function<void(bool)> done) {
-    sendTo(address, "", message(), knobs_.timeout, [this, done = std::move(done)](const wire::Gossip* answer) {
-        const bool is_other = answer != nullptr && answer->sender() != directory_.self().name();
+    sendTo(address, "", message(), knobs_.timeout, [this, done = std::move(done)](const wire::Gossip* response) {
+        const bool is_other = response != nullptr && response->sender() != directory_.self().name();
         if (is_other) {
             spread(directory_.self().name(), knobs_.first_fanout, Duration::zero());
-            exchangeWith(answer->sender());
+            exchangeWith(response->sender());
         }
         done(is_other);
     });
 }
 
 void Gossip::probe(const std::string& name, Duration timeout, std::function<void(bool)> done) {
-    send(name, message(), timeout, [done = std::move(done)](const wire::Gossip* answer) { done(answer != nullptr); });
+    send(name, message(), timeout, [done = std::move(done)](const wire::Gossip* response) { done(response != nullptr); });
 }
 
 void Gossip::send(const std::string& name, const wire::Gossip& message, Sent done) {
@@ -254,31 +254,31 @@
 
 /// What another node answers at the address is its own word, and none of the node that was asked.
 void Gossip::onAnswer(const std::string& name, TimePoint sent, const AttemptResult& result, const Sent& done) {
-    wire::Gossip answer;
-    const bool is_answered = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
-                             answer.ParseFromString(result.answer.body);
+    wire::Gossip response;
+    const bool is_answered = result.outcome == AttemptOutcome::kResponded && result.response.status == kHttpOk &&
+                             response.ParseFromString(result.response.body);
     const bool is_its_own =
-        is_answered && (answer.sender() == name || name.empty() || knobs_.weakening.trusts_any_answer);
+        is_answered && (response.sender() == name || name.empty() || knobs_.disabled.peer_name_check);
     if (is_its_own && !name.empty()) {
         directory_.onReached(name);
     }
     if (is_answered) {
-        directory_.addAddress(answer.sender(), "", answer.sender_address());
-        directory_.onReached(answer.sender());
-        mergeAll(answer, nullptr);
-        if (answer.has_table_age_us()) {
-            const Duration age(static_cast<std::int64_t>(answer.table_age_us()));
-            lease_.onPeer(sent, age, answer.table_version(), table_.version());
+        directory_.addAddress(response.sender(), "", response.sender_address());
+        directory_.onReached(response.sender());
+        mergeAll(response, nullptr);
+        if (response.has_table_age_us()) {
+            const Duration age(static_cast<std::int64_t>(response.table_age_us()));
+            lease_.onPeer(sent, age, response.table_version(), table_.version());
         }
     }
     if (is_answered && !is_its_own) {
-        log_.write(Event("node_displaced").with("peer", name).with("by", answer.sender()));
+        log_.write(Event("node_displaced").with("peer", name).with("by", response.sender()));
         directory_.onDisplaced(name);
     } else if (!is_answered) {
         directory_.onUnreachable(name);
     }
     if (done) {
-        done(is_its_own ? &answer : nullptr);
+        done(is_its_own ? &response : nullptr);
     }
 }
 
@@ -319,7 +319,7 @@
 }
 
 void Gossip::onStoreEra(std::uint64_t era) {
-    if (era <= store_era_ || knobs_.weakening.ignores_store_era) {
+    if (era <= store_era_ || knobs_.disabled.store_era_check) {
         return;
     }
     const auto former = std::exchange(store_era_, era);
@@ -336,13 +336,13 @@
     }
 }
 
-HttpAnswer Gossip::handle(const HttpRequest& request) {
-    HttpAnswer answer;
+HttpResponse Gossip::handle(const HttpRequest& request) {
+    HttpResponse response;
     wire::Gossip received;
     if (!received.ParseFromString(request.body)) {
         log_.write(Event("gossip_refused").with("step", "parse").with("bytes", request.body.size()));
-        answer.status = kHttpBadRequest;
-        return answer;
+        response.status = kHttpBadRequest;
+        return response;
     }
     directory_.addAddress(received.sender(), "", received.sender_address());
     directory_.onHeard(received.sender());
@@ -364,9 +364,9 @@
     if (table_.onVersionSeen(received.table_version())) {
         exchangeWith(received.sender());
     }
-    answer.status = kHttpOk;
-    answer.body = reply.SerializeAsString();
-    return answer;
+    response.status = kHttpOk;
+    response.body = reply.SerializeAsString();
+    return response;
 }
 
 }  // namespace dewcrank::fleet
--- a/src/fleet/gossip.h
+++ b/src/fleet/gossip.h
@@ -12,12 +12,12 @@
 #include <vector>
 
 #include "src/base/http_message.h"
-#include "src/base/weakening.h"
+#include "src/base/disabled_mechanisms.h"
 #include "src/fleet/node_directory.h"
 #include "src/fleet/rumor_queue.h"
 #include "src/policy/route_table.h"
 #include "src/policy/table_lease.h"
-#include "src/ports/back_end_port.h"
+#include "src/ports/http_transport.h"
 #include "src/ports/clock.h"
 #include "src/ports/event_log.h"
 #include "src/ports/random_source.h"
@@ -41,18 +41,18 @@
     std::size_t first_exchanges = 4;
     /// Nodes that are asked for the table at the same time: it is large, and one may be dead.
     std::size_t most_table_requests = 3;
-    Weakening weakening;  ///< Tests only.
+    DisabledMechanisms disabled;  ///< Tests only.
 };
 
 /// The exchange of one node with all others.
 class Gossip {
 public:
-    Gossip(Clock& clock, RandomSource& random, EventLog& log, BackEndPort& nodes, NodeDirectory& directory,
+    Gossip(Clock& clock, RandomSource& random, EventLog& log, HttpTransport& nodes, NodeDirectory& directory,
            policy::RouteTable& table, policy::TableLease& lease, GossipKnobs knobs);
 
     void start();
     /// Answers another node's message.
-    HttpAnswer handle(const HttpRequest& request);
+    HttpResponse handle(const HttpRequest& request);
     /// Makes this node known, and learns from some of those that it knows.
     void introduceSelf();
     /// Asks some nodes how fresh their tables are.
@@ -100,7 +100,7 @@
     Clock& clock_;
     RandomSource& random_;
     EventLog& log_;
-    BackEndPort& nodes_;
+    HttpTransport& nodes_;
     NodeDirectory& directory_;
     policy::RouteTable& table_;
     policy::TableLease& lease_;
--- a/src/policy/table_lease.cc
+++ b/src/policy/table_lease.cc
@@ -19,7 +19,7 @@
 }
 
 bool TableLease::isValid(TimePoint now) const {
-    if (!isRequired() || knobs_.weakening.ignores_table_age) {
+    if (!isRequired() || knobs_.disabled.table_age_check) {
         return true;
     }
     const auto known = age(now);
--- a/src/policy/table_lease.h
+++ b/src/policy/table_lease.h
@@ -7,7 +7,7 @@
 #include <optional>
 
 #include "src/base/time.h"
-#include "src/base/weakening.h"
+#include "src/base/disabled_mechanisms.h"
 
 namespace dewcrank::policy {
 
@@ -18,7 +18,7 @@
     Duration revocation{};
     /// Of `revocation`, kept for clocks that run at different rates and for the way from the check to the instance.
     double margin_share = 0.04;
-    Weakening weakening;  ///< Tests only.
+    DisabledMechanisms disabled;  ///< Tests only.
 };
 
 /// Invariant: the table held here contains every version that the store had acknowledged by `confirmed`.
--- a/src/ports/clock.h
+++ b/src/ports/clock.h
@@ -1,5 +1,5 @@
 /// @file
-/// Time and timers, given to every object that needs them.
+/// Clock and timer interface: the event loop in the daemon, virtual time in the simulator.
 #pragma once
 
 #include <functional>
@@ -9,14 +9,14 @@
 
 namespace dewcrank {
 
-/// A pending callback; destroying the handle cancels it.
+/// A pending timer; destroying the handle cancels it.
 class Timer {
 public:
     virtual ~Timer() = default;
 };
 using TimerHandle = std::unique_ptr<Timer>;
 
-/// A monotonic clock with one-shot timers. All callbacks run on the one loop.
+/// A monotonic clock with one-shot timers. All callbacks run on the event loop's thread.
 class Clock {
 public:
     virtual ~Clock() = default;
--- a/src/ports/control_store.h
+++ b/src/ports/control_store.h
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's store, as a sidecar node uses it: the table, and which nodes there are.
+/// Interface of the platform's store as the sidecar nodes use it: the route table, the list of nodes, and the leases.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace dewcrank {
 
-/// Where a node is reached.
+/// An entry of the store's list of nodes.
 struct NodeAddress {
     std::string name;
     std::string zone;
@@ -21,30 +21,30 @@
     friend bool operator==(const NodeAddress&, const NodeAddress&) = default;
 };
 
-/// An answer to a read of the table.
+/// Result of a read or a watch of the table.
 struct TableRead {
-    /// The newest table; none if there is none yet, or nothing new.
+    /// The newest table; empty if the store holds none, or if a watch ended without a change.
     std::optional<wire::RouteTable> table;
-    /// Revision of the store to go on from; 0: the history is lost, read anew.
+    /// Store revision from which to watch; 0: the store has lost its history, read the table again.
     std::uint64_t revision = 0;
 };
 
-/// Who holds what only one node at a time may hold.
+/// A lease: exclusive ownership of a named resource by one node.
 struct LeaseRecord {
     std::string name;
-    std::string holder;  ///< Name of a node; empty: nobody.
-    std::uint64_t incarnation = 0;
-    std::uint64_t revision = 0;  ///< Of the store, at the last write of the record; 0: it is not there.
+    std::string holder;             ///< Name of the owning node; empty: none.
+    std::uint64_t incarnation = 0;  ///< Of the owning node.
+    std::uint64_t revision = 0;     ///< Store revision of the record's last write; 0: there is no record.
 };
 
-/// How new an answer of the store has to be.
+/// Consistency of a read.
 enum class Freshness {
-    kNewest,      ///< Linearizable; the store bounds the rate of such calls over all nodes.
-    kMaybeStale,  ///< May be seconds old, and costs the store little.
+    kNewest,      ///< Linearizable; the store limits the rate of these calls over all nodes.
+    kMaybeStale,  ///< May be seconds old; cheap for the store.
 };
 
-/// All callbacks run later on the loop, exactly once; they get nothing when the store did not
-/// answer in time or refused.
+/// Asynchronous store client. Each callback runs exactly once, later on the event loop; it receives nothing (or false)
+/// if the store did not respond in time or rejected the call.
 class ControlStore {
 public:
     virtual ~ControlStore() = default;
@@ -53,21 +53,23 @@
     using DoneCallback = std::function<void(bool)>;
     using LeasesCallback = std::function<void(std::optional<std::vector<LeaseRecord>>)>;
 
-    /// Raised each time that the store has come back from a copy that lacks what it had acknowledged last: revisions go
-    /// back then, and are given out again. Of the answer whose callback runs; else of the last one. 0: it tells none.
+    /// Incremented each time the store is restored from a copy that lacks acknowledged writes, after which it assigns
+    /// the lost revisions again. @return the era in the response whose callback is running, else in the last response;
+    /// 0 if the store reports none.
     [[nodiscard]] virtual std::uint64_t era() const = 0;
-    /// A linearizable read: what was acknowledged before it was asked for is in the answer.
+    /// Linearizable read: the result includes every write acknowledged before this call.
     virtual void readTable(TableCallback callback) = 0;
-    /// Waits for a change after `revision`, for `wait` at most.
+    /// Waits up to `wait` for a change of the table after `revision`.
     virtual void watchTable(std::uint64_t revision, Duration wait, TableCallback callback) = 0;
-    /// Makes this node known. Calling it again does no harm.
+    /// Adds this node to the list of nodes; idempotent.
     virtual void announce(const NodeAddress& node, DoneCallback callback) = 0;
     virtual void listNodes(Freshness freshness, NodesCallback callback) = 0;
-    /// Takes a node off the list; it is not coming back.
+    /// Removes a node that shuts down for good from the list of nodes.
     virtual void withdraw(const std::string& name, DoneCallback callback) = 0;
-    /// All leases; a linearizable read.
+    /// Linearizable read of all leases.
     virtual void readLeases(LeasesCallback callback) = 0;
-    /// Writes a lease if the store's record has its revision still. Without an answer it may be done, or be done later.
+    /// Compare-and-swap: writes the lease if the record in the store still has `lease.revision`. On a missing response
+    /// the write may have happened, or may still happen.
     virtual void putLease(const LeaseRecord& lease, DoneCallback callback) = 0;
 };
 
--- a/src/ports/event_log.h
+++ b/src/ports/event_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// Structured log: one event, one line of key=value pairs.
+/// Structured log: each event is one line of key=value pairs.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace dewcrank {
 
-/// One event with its fields, in order.
+/// A log event: a name and an ordered list of fields.
 class Event {
 public:
     struct Field {
@@ -19,6 +19,7 @@
 
     explicit Event(std::string_view name) : name_(name) {}
 
+    /// Appends a field.
     Event& with(std::string_view key, std::string_view value) {
         fields_.push_back({std::string(key), std::string(value)});
         return *this;
@@ -31,7 +32,8 @@
 
     [[nodiscard]] const std::string& name() const { return name_; }
     [[nodiscard]] const std::vector<Field>& fields() const { return fields_; }
-    /// The event as `event=name key=value ...`; values with blanks are quoted.
+    /// The event as `event=name key=value ...`, without a line break. Empty values and values with spaces, quotes or
+    /// `=` are quoted.
     [[nodiscard]] std::string line() const;
 
 private:
@@ -39,13 +41,14 @@
     std::vector<Field> fields_;
 };
 
+/// Sink for log events.
 class EventLog {
 public:
     virtual ~EventLog() = default;
     virtual void write(const Event& event) = 0;
-    /// False if an event of this name would not be kept now, which is counted as if it had been
-    /// written: asked before an event that is frequent is put together.
-    [[nodiscard]] virtual bool takes(std::string_view) { return true; }
+    /// Checked before a frequent event is built. @return false if the rate limit would drop an event of this name now;
+    /// the event then counts as dropped.
+    [[nodiscard]] virtual bool accepts(std::string_view) { return true; }
 };
 
 }  // namespace dewcrank
--- a/src/ports/instance_api.h
+++ b/src/ports/instance_api.h
@@ -1,5 +1,5 @@
 /// @file
-/// How an instance speaks to the node beside it: heartbeats, and leaving.
+/// Requests of an instance to its local node: heartbeats and deregistration.
 #pragma once
 
 #include <functional>
@@ -10,21 +10,24 @@
 
 namespace dewcrank {
 
-/// What an instance tells its node.
+/// Receives the decoded requests of the instance.
 class InstanceListener {
 public:
     virtual ~InstanceListener() = default;
-    /// @return false if it names a service that is none of the fleet's: it comes from elsewhere.
+    /// @return false if the heartbeat names a service that is not part of the fleet.
     virtual bool onHeartbeat(const instance::Heartbeat& heartbeat) = 0;
-    /// @param born_ms of the life that leaves; 0: it does not say.
+    /// The instance shuts down and takes no further requests.
+    /// @param id      of the instance.
+    /// @param born_ms start time of the incarnation that shuts down, in milliseconds; 0: not given.
     virtual void onInstanceLeave(const std::string& id, std::uint64_t born_ms) = 0;
 };
 
-/// Translates an instance's requests. The answer acknowledges what the listener was told.
+/// Decodes the platform's format of the instance's requests.
 class InstanceApi {
 public:
     virtual ~InstanceApi() = default;
-    virtual HttpAnswer handle(const HttpRequest& request, InstanceListener& listener) = 0;
+    /// Decodes `request` and calls `listener`. @return the response to the instance.
+    virtual HttpResponse handle(const HttpRequest& request, InstanceListener& listener) = 0;
 };
 
 }  // namespace dewcrank
--- a/src/ports/table_store.h
+++ b/src/ports/table_store.h
@@ -1,5 +1,6 @@
 /// @file
-/// The operators' table in the platform's store: read whole, and replaced if it is still as it was.
+/// Interface of the platform's store as the command line tool uses it: reads and conditionally replaces the route
+/// table.
 #pragma once
 
 #include <cstdint>
@@ -10,31 +11,31 @@
 
 namespace dewcrank {
 
-/// The table with what a write has to name.
+/// The table and its revision, which a conditional write has to match.
 struct StoredTable {
     wire::RouteTable table;
-    std::uint64_t revision = 0;  ///< Of the store, at the last write of the table.
+    std::uint64_t revision = 0;  ///< Store revision of the last write of the table.
 };
 
-/// How a conditional write has ended.
+/// Result of a conditional write.
 enum class TableWrite {
     kWritten,
-    kConflict,  ///< Another table is there; nothing was written.
-    kRefused,   ///< The store takes this table for invalid.
-    kUnknown,   ///< No answer: it may have been written, or may be yet.
+    kConflict,  ///< The table has another revision; nothing was written.
+    kRefused,   ///< The store rejected the table as invalid.
+    kUnknown,   ///< No response: the table may have been written, or may still be.
 };
 
-/// Callbacks run later on the loop, exactly once.
+/// Asynchronous store client. Each callback runs exactly once, later on the event loop.
 class TableStore {
 public:
     virtual ~TableStore() = default;
     using ReadCallback = std::function<void(std::optional<StoredTable>)>;
     using WriteCallback = std::function<void(TableWrite)>;
 
-    /// Gives nothing if the store has not answered, or holds no table.
+    /// The callback receives nothing if the store did not respond or holds no table.
     virtual void read(ReadCallback callback) = 0;
-    /// Replaces the table whose revision is `expected`. What the platform keeps beside the table's own
-    /// columns stays as it is.
+    /// Replaces the table if its revision is still `expected`. Fields of the platform that are not columns of the table
+    /// are preserved.
     virtual void write(const wire::RouteTable& table, std::uint64_t expected, WriteCallback callback) = 0;
 };
 
--- a/src/quarantine/exchange.cc
+++ b/src/quarantine/exchange.cc
@@ -7,7 +7,7 @@
 
 namespace dewcrank::quarantine {
 
-Exchange::Exchange(Clock& clock, RandomSource& random, EventLog& log, BackEndPort& nodes,
+Exchange::Exchange(Clock& clock, RandomSource& random, EventLog& log, HttpTransport& nodes,
                    fleet::NodeDirectory& directory, Quarantine& quarantine, std::string service, ExchangeKnobs knobs)
     : clock_(clock),
       random_(random),
@@ -104,16 +104,16 @@
 }
 
 void Exchange::onAnswer(const std::string& name, const AttemptResult& result) {
-    wire::Quarantine answer;
-    const bool is_answered = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
-                             answer.ParseFromString(result.answer.body);
+    wire::Quarantine response;
+    const bool is_answered = result.outcome == AttemptOutcome::kResponded && result.response.status == kHttpOk &&
+                             response.ParseFromString(result.response.body);
     if (!is_answered) {
         directory_.onUnreachable(name);
         return;
     }
     directory_.onReached(name);
-    merge(answer);
-    for (const auto fingerprint : answer.ended_well()) {
+    merge(response);
+    for (const auto fingerprint : response.ended_well()) {
         quarantine_.onEndedWellElsewhere(fingerprint);
     }
 }
@@ -133,13 +133,13 @@
     }
 }
 
-HttpAnswer Exchange::handle(const HttpRequest& request) {
-    HttpAnswer answer;
+HttpResponse Exchange::handle(const HttpRequest& request) {
+    HttpResponse response;
     wire::Quarantine received;
     if (!received.ParseFromString(request.body)) {
         log_.write(Event("quarantine_refused").with("step", "parse").with("bytes", request.body.size()));
-        answer.status = kHttpBadRequest;
-        return answer;
+        response.status = kHttpBadRequest;
+        return response;
     }
     directory_.onReached(received.sender());
     merge(received);
@@ -163,9 +163,9 @@
             reply.add_suspects(fingerprint);
         }
     }
-    answer.status = kHttpOk;
-    answer.body = reply.SerializeAsString();
-    return answer;
+    response.status = kHttpOk;
+    response.body = reply.SerializeAsString();
+    return response;
 }
 
 }  // namespace dewcrank::quarantine
--- a/src/quarantine/exchange.h
+++ b/src/quarantine/exchange.h
@@ -15,7 +15,7 @@
 
 #include "src/base/http_message.h"
 #include "src/fleet/node_directory.h"
-#include "src/ports/back_end_port.h"
+#include "src/ports/http_transport.h"
 #include "src/ports/clock.h"
 #include "src/ports/event_log.h"
 #include "src/ports/random_source.h"
@@ -41,7 +41,7 @@
 /// The exchange of one relay with the others of its service.
 class Exchange {
 public:
-    Exchange(Clock& clock, RandomSource& random, EventLog& log, BackEndPort& nodes, fleet::NodeDirectory& directory,
+    Exchange(Clock& clock, RandomSource& random, EventLog& log, HttpTransport& nodes, fleet::NodeDirectory& directory,
              Quarantine& quarantine, std::string service, ExchangeKnobs knobs);
 
     void start();
@@ -50,7 +50,7 @@
     /// Emitted when another relay tells that its instance has just ended by itself.
     sigc::signal<void()>& signalInstanceEnded() { return signal_instance_ended_; }
     /// Answers another relay's message.
-    HttpAnswer handle(const HttpRequest& request);
+    HttpResponse handle(const HttpRequest& request);
 
 private:
     [[nodiscard]] wire::Quarantine message() const;
@@ -65,7 +65,7 @@
     Clock& clock_;
     RandomSource& random_;
     EventLog& log_;
-    BackEndPort& nodes_;
+    HttpTransport& nodes_;
     fleet::NodeDirectory& directory_;
     Quarantine& quarantine_;
     std::string service_;
--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-QuotaClient::QuotaClient(Clock& clock, RandomSource& random, EventLog& log, BackEndPort& nodes,
+QuotaClient::QuotaClient(Clock& clock, RandomSource& random, EventLog& log, HttpTransport& nodes,
                          const fleet::NodeDirectory& directory, const policy::RouteTable& table, ShardKeeper& keeper,
                          QuotaClientKnobs knobs)
     : clock_(clock),
@@ -126,7 +126,7 @@
     const bool is_denied =
         waiter.was_denied || std::any_of(denied.begin(), denied.end(), [now](TimePoint until) { return until > now; });
     TokenResult result;
-    result.answer = is_denied ? TokenAnswer::kBeyond : TokenAnswer::kUnknown;
+    result.response = is_denied ? TokenAnswer::kBeyond : TokenAnswer::kUnknown;
     result.retry_after = knobs_.least_retry_after;
     ++(is_denied ? totals_.beyond : totals_.unknown);
     end(number, result);
@@ -186,8 +186,8 @@
     shard.is_asking = true;
     if (owner == &directory_.self()) {
         shard.local = clock_.startTimer(Duration::zero(), [this, place, question] {
-            const auto answer = grant(question);
-            onAnswer(place, &answer);
+            const auto response = grant(question);
+            onAnswer(place, &response);
         });
         return;
     }
@@ -203,30 +203,30 @@
     shards_[place].attempt = nodes_.send(
         owner.address(), std::move(request), knobs_.ask_timeout, [this, place](const AttemptResult& result) {
             const auto ended = std::exchange(shards_[place].attempt, nullptr);
-            wire::QuotaGrant answer;
-            const bool is_answered = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
-                                     answer.ParseFromString(result.answer.body);
-            onAnswer(place, is_answered ? &answer : nullptr);
+            wire::QuotaGrant response;
+            const bool is_answered = result.outcome == AttemptOutcome::kResponded && result.response.status == kHttpOk &&
+                                     response.ParseFromString(result.response.body);
+            onAnswer(place, is_answered ? &response : nullptr);
         });
 }
 
 /// Whoever does not own the shard, or does not answer, is left alone for a time.
-void QuotaClient::onAnswer(std::uint32_t place, const wire::QuotaGrant* answer) {
+void QuotaClient::onAnswer(std::uint32_t place, const wire::QuotaGrant* response) {
     auto& shard = shards_[place];
     shard.is_asking = false;
     auto asked = std::exchange(shard.asked, {});
-    const bool is_owner = answer != nullptr && answer->is_owner();
+    const bool is_owner = response != nullptr && response->is_owner();
     if (is_owner) {
-        for (const auto& line : answer->lines()) {
+        for (const auto& line : response->lines()) {
             if (const auto found = asked.find(line.tenant()); found != asked.end()) {
-                onLine(place, answer->term(), line, &found->second);
+                onLine(place, response->term(), line, &found->second);
             }
         }
     } else {
         shard.unavailable_until = clock_.now() + knobs_.unavailable;
         log_.write(Event("quota_owner_unavailable")
                        .with("shard", place)
-                       .with("reason", answer == nullptr ? "no-answer" : "not-the-owner"));
+                       .with("reason", response == nullptr ? "no-answer" : "not-the-owner"));
     }
     for (const auto& [tenant, numbers] : asked) {
         for (const auto number : numbers) {
@@ -242,7 +242,7 @@
 void QuotaClient::onLine(std::uint32_t place, std::uint64_t term, const wire::QuotaGrant::Line& line,
                          std::vector<Number>* numbers) {
     TokenResult result;
-    result.answer = TokenAnswer::kGranted;
+    result.response = TokenAnswer::kGranted;
     result.token = {place, term};
     auto left = line.granted();
     for (const auto number : *numbers) {
@@ -287,33 +287,33 @@
     takeovers_[place] = nodes_.send(
         node->record.address(), std::move(request), knobs_.ask_timeout, [this, place](const AttemptResult& result) {
             const auto ended = takeovers_.extract(place);
-            wire::QuotaGrant answer;
-            if (result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
-                answer.ParseFromString(result.answer.body)) {
-                keeper_.onHandedOver(place, answer.sender(), answer.incarnation());
+            wire::QuotaGrant response;
+            if (result.outcome == AttemptOutcome::kResponded && result.response.status == kHttpOk &&
+                response.ParseFromString(result.response.body)) {
+                keeper_.onHandedOver(place, response.sender(), response.incarnation());
             }
         });
 }
 
 wire::QuotaGrant QuotaClient::grant(const wire::QuotaAsk& question) {
-    wire::QuotaGrant answer;
-    answer.set_sender(directory_.self().name());
-    answer.set_incarnation(directory_.self().incarnation());
+    wire::QuotaGrant response;
+    response.set_sender(directory_.self().name());
+    response.set_incarnation(directory_.self().incarnation());
     if (question.takes_over()) {
         keeper_.handOver(question.shard());
-        return answer;
+        return response;
     }
     auto* shard = keeper_.granting(question.shard());
     if (shard == nullptr) {
-        return answer;
+        return response;
     }
-    answer.set_is_owner(true);
-    answer.set_term(keeper_.termOf(question.shard()));
-    const bool is_same_term = question.term() == answer.term();
+    response.set_is_owner(true);
+    response.set_term(keeper_.termOf(question.shard()));
+    const bool is_same_term = question.term() == response.term();
     for (const auto& line : question.lines()) {
         const auto* tenant = table_.tenantNamed(line.tenant());
-        auto* granted = answer.add_lines();
-        if (knobs_.weakening.grants_beyond_quota) {
+        auto* granted = response.add_lines();
+        if (knobs_.disabled.quota_limit) {
             granted->set_tenant(line.tenant());
             granted->set_granted(line.wanted());
         } else if (tenant == nullptr) {
@@ -323,24 +323,24 @@
             *granted = shard->grant(clock_.now(), *tenant, line.wanted(), is_same_term ? line.returned() : 0);
         }
     }
-    return answer;
+    return response;
 }
 
-HttpAnswer QuotaClient::handle(const HttpRequest& request) {
-    HttpAnswer answer;
+HttpResponse QuotaClient::handle(const HttpRequest& request) {
+    HttpResponse response;
     wire::QuotaAsk question;
     if (!question.ParseFromString(request.body) || question.shard() >= kShards) {
         log_.write(Event("quota_question_refused").with("step", "parse").with("bytes", request.body.size()));
-        answer.status = kHttpBadRequest;
-        return answer;
+        response.status = kHttpBadRequest;
+        return response;
     }
     const auto granted = grant(question);
     for (const auto& line : granted.lines()) {
         totals_.lent += line.granted();
     }
-    answer.status = kHttpOk;
-    answer.body = granted.SerializeAsString();
-    return answer;
+    response.status = kHttpOk;
+    response.body = granted.SerializeAsString();
+    return response;
 }
 
 }  // namespace dewcrank::quota
--- a/src/quota/quota_client.h
+++ b/src/quota/quota_client.h
@@ -10,10 +10,10 @@
 #include <vector>
 
 #include "src/base/http_message.h"
-#include "src/base/weakening.h"
+#include "src/base/disabled_mechanisms.h"
 #include "src/fleet/node_directory.h"
 #include "src/policy/route_table.h"
-#include "src/ports/back_end_port.h"
+#include "src/ports/http_transport.h"
 #include "src/ports/clock.h"
 #include "src/ports/event_log.h"
 #include "src/ports/random_source.h"
@@ -34,7 +34,7 @@
     Duration return_after = 100ms;
     /// When a caller beyond its tenant's limit may come back, at the least.
     Duration least_retry_after = 1s;
-    Weakening weakening;  ///< Tests only.
+    DisabledMechanisms disabled;  ///< Tests only.
 };
 
 /// Says which owner's term a token is of.
@@ -50,7 +50,7 @@
     kUnknown,  ///< No owner could be asked.
 };
 struct TokenResult {
-    TokenAnswer answer = TokenAnswer::kUnknown;
+    TokenAnswer response = TokenAnswer::kUnknown;
     Token token;             ///< If granted.
     Duration retry_after{};  ///< If beyond.
 };
@@ -71,7 +71,7 @@
     using Number = std::uint64_t;
     using Callback = std::function<void(const TokenResult&)>;
 
-    QuotaClient(Clock& clock, RandomSource& random, EventLog& log, BackEndPort& nodes,
+    QuotaClient(Clock& clock, RandomSource& random, EventLog& log, HttpTransport& nodes,
                 const fleet::NodeDirectory& directory, const policy::RouteTable& table, ShardKeeper& keeper,
                 QuotaClientKnobs knobs);
 
@@ -81,7 +81,7 @@
     /// The request for which it was granted has not run.
     void giveBack(const std::string& tenant, const Token& token);
     /// Answers another node's question.
-    HttpAnswer handle(const HttpRequest& request);
+    HttpResponse handle(const HttpRequest& request);
     [[nodiscard]] const QuotaTotals& totals() const { return totals_; }
 
 private:
@@ -114,7 +114,7 @@
     void send(std::uint32_t shard, const wire::NodeRecord& owner, const wire::QuotaAsk& question);
     [[nodiscard]] wire::QuotaAsk questionTo(std::uint32_t shard);
     wire::QuotaGrant grant(const wire::QuotaAsk& question);
-    void onAnswer(std::uint32_t shard, const wire::QuotaGrant* answer);
+    void onAnswer(std::uint32_t shard, const wire::QuotaGrant* response);
     void onLine(std::uint32_t shard, std::uint64_t term, const wire::QuotaGrant::Line& line,
                 std::vector<Number>* numbers);
     void end(Number number, const TokenResult& result);
@@ -123,7 +123,7 @@
     Clock& clock_;
     RandomSource& random_;
     EventLog& log_;
-    BackEndPort& nodes_;
+    HttpTransport& nodes_;
     const fleet::NodeDirectory& directory_;
     const policy::RouteTable& table_;
     ShardKeeper& keeper_;
--- a/src/quota/shard_keeper.cc
+++ b/src/quota/shard_keeper.cc
@@ -121,7 +121,7 @@
 /// The store may name owners of before, and has forgotten whoever it named since. Whom it names now begins a term of
 /// its own, after as long as those may hand out that it named then.
 void ShardKeeper::noticeEra() {
-    if (store_.era() == era_ || knobs_.weakening.ignores_store_era) {
+    if (store_.era() == era_ || knobs_.disabled.store_era_check) {
         return;
     }
     const auto former = std::exchange(era_, store_.era());
--- a/src/quota/shard_keeper.h
+++ b/src/quota/shard_keeper.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "src/base/weakening.h"
+#include "src/base/disabled_mechanisms.h"
 #include "src/fleet/node_directory.h"
 #include "src/policy/route_table.h"
 #include "src/ports/clock.h"
@@ -33,7 +33,7 @@
     /// Between two confirmations of an owner, less than half of the lease: one may fail.
     Duration confirm_interval = 3s;
     Duration confirm_retry = 700ms;
-    Weakening weakening;  ///< Tests only.
+    DisabledMechanisms disabled;  ///< Tests only.
 };
 
 /// What this node owns. The first candidate for a shard is the node that ranks first by a hash of node and shard
--- a/src/relay/answer_kind.cc
+++ b/src/relay/answer_kind.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-AnswerKind kindOf(const HttpAnswer& answer, const std::string& request, const HeaderNames& names, bool takes_unsigned) {
+AnswerKind kindOf(const HttpResponse& answer, const std::string& request, const HeaderNames& names, bool takes_unsigned) {
     if (answer.status == kHttpMisdirected) {
         return AnswerKind::kMisdirected;
     }
--- a/src/relay/answer_kind.h
+++ b/src/relay/answer_kind.h
@@ -18,7 +18,7 @@
 
 /// @param request id of the request. @param takes_unsigned tests only: a success without the instance's signature
 /// is an answer.
-[[nodiscard]] AnswerKind kindOf(const HttpAnswer& answer, const std::string& request, const HeaderNames& names,
+[[nodiscard]] AnswerKind kindOf(const HttpResponse& answer, const std::string& request, const HeaderNames& names,
                                 bool takes_unsigned);
 
 }  // namespace dewcrank::relay
--- a/src/relay/crash_watch.cc
+++ b/src/relay/crash_watch.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-CrashWatch::CrashWatch(Clock& clock, BackEndPort& instances, std::string address, CrashWatchKnobs knobs)
+CrashWatch::CrashWatch(Clock& clock, HttpTransport& instances, std::string address, CrashWatchKnobs knobs)
     : clock_(clock), instances_(instances), address_(std::move(address)), knobs_(knobs) {}
 
 void CrashWatch::onBroken(std::size_t running) {
@@ -41,7 +41,7 @@
                                  if (isConnectionLost(result) && probes_left > 1) {
                                      probe(probes_left - 1);
                                  } else {
-                                     judge(isConnectionLost(result) || isRefused(result));
+                                     judge(isConnectionLost(result) || isConnectionRefused(result));
                                  }
                              });
 }
--- a/src/relay/crash_watch.h
+++ b/src/relay/crash_watch.h
@@ -11,7 +11,7 @@
 #include <cstddef>
 #include <string>
 
-#include "src/ports/back_end_port.h"
+#include "src/ports/http_transport.h"
 #include "src/ports/clock.h"
 
 namespace dewcrank::relay {
@@ -29,7 +29,7 @@
 /// of the runs have lost theirs.
 class CrashWatch {
 public:
-    CrashWatch(Clock& clock, BackEndPort& instances, std::string address, CrashWatchKnobs knobs);
+    CrashWatch(Clock& clock, HttpTransport& instances, std::string address, CrashWatchKnobs knobs);
 
     /// @param path where the instance answers probes.
     void setProbePath(std::string path) { probe_path_ = std::move(path); }
@@ -48,7 +48,7 @@
     void judge(bool has_ended);
 
     Clock& clock_;
-    BackEndPort& instances_;
+    HttpTransport& instances_;
     std::string address_;
     CrashWatchKnobs knobs_;
     std::string probe_path_ = "/health";
--- a/src/relay/relay_message.h
+++ b/src/relay/relay_message.h
@@ -40,7 +40,7 @@
 
 /// How a relayed request ended.
 enum class RelayOutcome {
-    kAnswered,
+    kResponded,
     kNotRun,   ///< Proved: it was not sent, or the instance has said so.
     kUnknown,  ///< It was sent, and there is no whole answer.
 };
@@ -74,7 +74,7 @@
     bool was_offered = false;     ///< An instance has been sent it.
     bool failed_below = false;    ///< The instance answered with a failure, as one of its own calls had failed.
     bool is_repeat_paid = false;  ///< The relay's budget has given the repeat at another instance.
-    HttpAnswer answer;            ///< Only with kAnswered.
+    HttpResponse response;            ///< Only with kResponded.
     QueueLoad load;
     bool has_load = false;
     decision::RouteReport report;  ///< Counts if `has_load`.
--- a/src/relay/relay_repeats.cc
+++ b/src/relay/relay_repeats.cc
@@ -34,8 +34,8 @@
 }
 
 bool RelayRepeats::paysRepeat(const RelayRequest& request, const RelayResult& result) {
-    const bool has_failed = result.outcome != RelayOutcome::kAnswered ||
-                            (result.answer.status == kHttpInternalServerError && !result.failed_below);
+    const bool has_failed = result.outcome != RelayOutcome::kResponded ||
+                            (result.response.status == kHttpInternalServerError && !result.failed_below);
     const bool is_repeated = has_failed && result.was_offered && result.reason != RelayReason::kQuarantined &&
                              isRepeated(request.failure_plan, result.outcome);
     return is_repeated && tryRepeat(request.route);
--- a/src/relay/relay_service.cc
+++ b/src/relay/relay_service.cc
@@ -8,7 +8,7 @@
 
 namespace dewcrank::relay {
 
-RelayService::RelayService(Clock& clock, EventLog& log, BackEndPort& instances, instance::LocalInstance& instance,
+RelayService::RelayService(Clock& clock, EventLog& log, HttpTransport& instances, instance::LocalInstance& instance,
                            quarantine::Quarantine& quarantine, const HeaderNames& names, std::string instance_address,
                            CallerCensus::ShareOf share_of, RelayKnobs knobs)
     : clock_(clock),
@@ -34,7 +34,7 @@
 RelayService::~RelayService() = default;
 
 void RelayService::setReplicaView(const std::function<fleet::Replicas()>& view) {
-    if (knobs_.weakening.tries_suspects_at_once) {
+    if (knobs_.disabled.suspect_trial_gate) {
         return;
     }
     trials_.gate().setView([this, view] {
@@ -53,7 +53,7 @@
 
 bool RelayService::takes(const std::string& instance) const {
     const bool is_there = instance_.record().id() == instance;
-    return instance_.takesCallsFor(instance) || (knobs_.weakening.serves_draining && is_there);
+    return instance_.takesCallsFor(instance) || (knobs_.disabled.drain_check && is_there);
 }
 
 RelayReason RelayService::refusalOf(const Running& running) {
@@ -68,7 +68,7 @@
     if (quarantine_.standing(running.fingerprint) == quarantine::Standing::kQuarantined) {
         return RelayReason::kQuarantined;
     }
-    const bool may_repeat = knobs_.weakening.repeats_without_budget || repeats_.mayRepeat(request);
+    const bool may_repeat = knobs_.disabled.retry_budget_check || repeats_.mayRepeat(request);
     return may_repeat ? RelayReason::kNone : RelayReason::kRepeatBudget;
 }
 
@@ -229,7 +229,7 @@
         crash_watch_.onBroken(runs_.runningAt(life));
         return;
     }
-    if (isRefused(result)) {
+    if (isConnectionRefused(result)) {
         crash_watch_.onRefused();
     }
     finish(number, judge(*running_[number], std::move(result)));
@@ -303,9 +303,9 @@
 }
 
 RelayResult RelayService::judge(const Running& running, AttemptResult result) {
-    if (result.outcome == AttemptOutcome::kAnswered) {
+    if (result.outcome == AttemptOutcome::kResponded) {
         instance_.onAnswered();
-        return judgeAnswer(running, std::move(result.answer));
+        return judgeAnswer(running, std::move(result.response));
     }
     RelayResult judged;
     judged.was_offered = result.outcome == AttemptOutcome::kUnknown;
@@ -330,10 +330,10 @@
     return judged;
 }
 
-RelayResult RelayService::judgeAnswer(const Running& running, HttpAnswer answer) {
+RelayResult RelayService::judgeAnswer(const Running& running, HttpResponse response) {
     RelayResult judged;
     judged.was_offered = true;
-    switch (kindOf(answer, running.id, names_, knobs_.weakening.takes_unsigned_answers)) {
+    switch (kindOf(response, running.id, names_, knobs_.disabled.response_signature_check)) {
         case AnswerKind::kMisdirected:
             instance_.onMisdirected(running.request.instance);
             [[fallthrough]];
@@ -344,18 +344,18 @@
             log_.write(Event("answer_spoiled")
                            .with("request", running.id)
                            .with("peer", instance_address_)
-                           .with("status", answer.status));
+                           .with("status", response.status));
             judged.outcome = RelayOutcome::kUnknown;
             judged.reason = RelayReason::kNoWholeAnswer;
             return judged;
         case AnswerKind::kWhole:
             break;
     }
-    removeHopByHopHeaders(answer.headers);
-    judged.outcome = RelayOutcome::kAnswered;
+    removeHopByHopHeaders(response.headers);
+    judged.outcome = RelayOutcome::kResponded;
     judged.failed_below =
-        answer.status == kHttpInternalServerError && call_graph_.explainFailure(clock_.now(), running.sent);
-    judged.answer = std::move(answer);
+        response.status == kHttpInternalServerError && call_graph_.explainFailure(clock_.now(), running.sent);
+    judged.response = std::move(response);
     return judged;
 }
 
@@ -369,8 +369,8 @@
     auto ended = running_.extract(number);
     auto& running = *ended.mapped();
     runs_.onEnded(number);
-    const bool is_answered = result.outcome == RelayOutcome::kAnswered;
-    onRunEnded(running, is_answered && isSuccess(result.answer.status));
+    const bool is_answered = result.outcome == RelayOutcome::kResponded;
+    onRunEnded(running, is_answered && isSuccess(result.response.status));
     const auto time = is_answered ? clock_.now() - running.sent : Duration::zero();
     if (is_answered) {
         quarantine_.onEndedWell(running.fingerprint);
--- a/src/relay/relay_service.h
+++ b/src/relay/relay_service.h
@@ -14,13 +14,13 @@
 
 #include "src/base/header_names.h"
 #include "src/base/http_message.h"
-#include "src/base/weakening.h"
+#include "src/base/disabled_mechanisms.h"
 #include "src/decision/bottleneck_view.h"
 #include "src/decision/call_graph.h"
 #include "src/decision/instance_demand.h"
 #include "src/decision/usual_deadlines.h"
 #include "src/instance/local_instance.h"
-#include "src/ports/back_end_port.h"
+#include "src/ports/http_transport.h"
 #include "src/ports/clock.h"
 #include "src/ports/event_log.h"
 #include "src/quarantine/quarantine.h"
@@ -56,7 +56,7 @@
     /// One slot in so many is left free, and at least one of an instance with so many slots.
     std::uint32_t free_slot_in = 16;
     std::uint32_t least_slots_to_leave_free = 8;
-    Weakening weakening;  ///< Tests only.
+    DisabledMechanisms disabled;  ///< Tests only.
 };
 
 /// Relays requests of this node's callers and of other nodes to the one instance.
@@ -65,7 +65,7 @@
     using Number = std::uint64_t;
     using Callback = std::function<void(RelayResult)>;
 
-    RelayService(Clock& clock, EventLog& log, BackEndPort& instances, instance::LocalInstance& instance,
+    RelayService(Clock& clock, EventLog& log, HttpTransport& instances, instance::LocalInstance& instance,
                  quarantine::Quarantine& quarantine, const HeaderNames& names, std::string instance_address,
                  CallerCensus::ShareOf share_of, RelayKnobs knobs);
     ~RelayService();
@@ -139,14 +139,14 @@
     void onInstanceEnded(const std::string& life);
     void endRunsOf(const std::string& life);
     RelayResult judge(const Running& running, AttemptResult result);
-    RelayResult judgeAnswer(const Running& running, HttpAnswer answer);
+    RelayResult judgeAnswer(const Running& running, HttpResponse response);
     void onRunEnded(const Running& running, bool is_whole);
     void finish(Number number, RelayResult result);
     void leaveQueues(Number number, const Running& running, Duration time);
 
     Clock& clock_;
     EventLog& log_;
-    BackEndPort& instances_;
+    HttpTransport& instances_;
     instance::LocalInstance& instance_;
     quarantine::Quarantine& quarantine_;
     const HeaderNames& names_;
--- a/src/relay/relay_wire.cc
+++ b/src/relay/relay_wire.cc
@@ -134,7 +134,7 @@
     return received;
 }
 
-HttpAnswer toHttp(RelayResult result, const RelayPeer& sender) {
+HttpResponse toHttp(RelayResult result, const RelayPeer& sender) {
     FieldWriter fields;
     write(&fields, sender);
     fields.add(static_cast<std::int64_t>(result.outcome)).add(static_cast<std::int64_t>(result.reason));
@@ -144,25 +144,25 @@
     fields.add(result.failed_below ? 1 : 0);
     fields.add(sender.table_age ? sender.table_age->count() + 1 : 0);
     fields.add(result.is_repeat_paid ? 1 : 0);
-    auto answer = std::move(result.answer);
-    if (result.outcome != RelayOutcome::kAnswered) {
-        answer.status = kHttpOk;
+    auto response = std::move(result.response);
+    if (result.outcome != RelayOutcome::kResponded) {
+        response.status = kHttpOk;
     }
-    answer.headers.removePrefix(kRelayHeaderPrefix);
-    answer.headers.add(std::string(kResult), fields.take());
-    return answer;
+    response.headers.removePrefix(kRelayHeaderPrefix);
+    response.headers.add(std::string(kResult), fields.take());
+    return response;
 }
 
-ReceivedResult fromHttp(HttpAnswer answer) {
+ReceivedResult fromHttp(HttpResponse response) {
     ReceivedResult received;
     auto& result = received.result;
-    if (!answer.headers.has(kResult)) {
+    if (!response.headers.has(kResult)) {
         result.outcome = RelayOutcome::kUnknown;
         result.reason = RelayReason::kRelayLost;
         result.was_offered = true;
         return received;
     }
-    FieldReader fields(answer.headers.get(kResult));
+    FieldReader fields(response.headers.get(kResult));
     received.sender = readPeer(&fields);
     result.outcome = outcomeOf(fields.number());
     result.reason = static_cast<RelayReason>(fields.number());
@@ -175,8 +175,8 @@
         received.sender.table_age = Duration(age - 1);
     }
     result.is_repeat_paid = fields.number() != 0;
-    answer.headers.removePrefix(kRelayHeaderPrefix);
-    result.answer = std::move(answer);
+    response.headers.removePrefix(kRelayHeaderPrefix);
+    result.response = std::move(response);
     return received;
 }
 
--- a/src/relay/relay_wire.h
+++ b/src/relay/relay_wire.h
@@ -36,8 +36,8 @@
 HttpRequest toHttp(RelayRequest request, const RelayPeer& sender, TimePoint now);
 /// Nothing if the request is not a relayed one.
 std::optional<ReceivedRequest> fromHttp(HttpRequest request, TimePoint now);
-HttpAnswer toHttp(RelayResult result, const RelayPeer& sender);
+HttpResponse toHttp(RelayResult result, const RelayPeer& sender);
 /// An answer that no relay has marked is kUnknown.
-ReceivedResult fromHttp(HttpAnswer answer);
+ReceivedResult fromHttp(HttpResponse response);
 
 }  // namespace dewcrank::relay
--- a/src/sidecar/settings.h
+++ b/src/sidecar/settings.h
@@ -1,13 +1,13 @@
 /// @file
-/// What a sidecar node is told at its start.
+/// Configuration of a sidecar node.
 #pragma once
 
 #include <string>
 #include <vector>
 
+#include "src/base/disabled_mechanisms.h"
 #include "src/base/header_names.h"
 #include "src/base/time.h"
-#include "src/base/weakening.h"
 #include "src/decision/admission.h"
 #include "src/entry/access_check.h"
 #include "src/entry/entry_call.h"
@@ -19,9 +19,9 @@
 #include "src/quota/quota_client.h"
 #include "src/quota/shard_keeper.h"
 #include "src/relay/relay_service.h"
-#include "src/sidecar/fleet_contacts.h"
-#include "src/sidecar/table_follower.h"
+#include "src/sidecar/peer_discovery.h"
 #include "src/sidecar/table_refresher.h"
+#include "src/sidecar/table_watcher.h"
 
 namespace dewcrank::sidecar {
 
@@ -37,29 +37,30 @@
     quarantine::QuarantineKnobs quarantine;
     quarantine::ExchangeKnobs quarantine_exchange;
     policy::TableLeaseKnobs table_lease;
-    FleetContactsKnobs fleet_contacts;
-    TableFollowerKnobs table_follower;
+    PeerDiscoveryKnobs peer_discovery;
+    TableWatcherKnobs table_watcher;
     TableRefresherKnobs table_refresher;
     entry::AccessKnobs access;
     quota::ShardKeeperKnobs quota_shards;
     quota::QuotaClientKnobs quota_client;
-    /// An instance that is silent for longer counts as unknown.
-    Duration longest_silence = 8s;
-    /// A stopping node goes on serving for this long, until callers have been led elsewhere.
-    Duration stop_serving = 2500ms;
-    /// A stopping node ends at the latest after this.
-    Duration longest_stop = 5500ms;
-    Weakening weakening;  ///< Tests only.
+    /// The state of an instance is unknown after this time without a heartbeat or a response.
+    Duration instance_timeout = 8s;
+    /// A stopping node still accepts calls for this time, until callers have moved to other nodes.
+    Duration drain_time = 2500ms;
+    /// Maximum time from stop() until the node has stopped, with or without calls in flight.
+    Duration max_stop_time = 5500ms;
+    DisabledMechanisms disabled;  ///< Tests only.
 };
 
+/// Settings of one node, fixed until the process ends.
 struct Settings {
     std::string name;
     std::string zone;
-    std::string address;           ///< "ip:port" for calls from other nodes.
-    std::string instance_address;  ///< "ip:port" of the instance beside the node.
-    std::string service;           ///< Of that instance.
-    std::uint64_t incarnation = 0;
-    std::vector<std::string> seeds;  ///< Addresses at which other nodes may answer; may be out of date.
+    std::string address;             ///< "ip:port" for calls from other nodes.
+    std::string instance_address;    ///< "ip:port" of the local instance.
+    std::string service;             ///< Service of the local instance.
+    std::uint64_t incarnation = 0;   ///< Grows with each start of the process.
+    std::vector<std::string> seeds;  ///< "ip:port" of other nodes; may be out of date.
     HeaderNames header_names;
     Knobs knobs;
 };
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -11,20 +11,20 @@
 
 namespace {
 
-constexpr Duration kStopCheck = 50ms;
-/// A request stands for at most the inverse of this many, so that a level near zero is no outlier.
-constexpr double kLeastLevel = 0.02;
+constexpr Duration kStopCheckInterval = 50ms;
+/// Bounds the demand weight of a request, which is the inverse of the admission ratio.
+constexpr double kMinAdmitRatio = 0.02;
 
-HttpAnswer plainAnswer(int status, const std::string& text) {
-    HttpAnswer answer;
-    answer.status = status;
-    answer.headers.set("Content-Type", "text/plain");
-    answer.body = text + "\n";
-    return answer;
+HttpResponse textResponse(int status, const std::string& text) {
+    HttpResponse response;
+    response.status = status;
+    response.headers.set("Content-Type", "text/plain");
+    response.body = text + "\n";
+    return response;
 }
 
-/// Milliseconds in a header; nothing if it holds no number.
-std::optional<Duration> millisecondsIn(std::string_view text) {
+/// Parses a header with a number of milliseconds; nothing if the value is invalid.
+std::optional<Duration> parseMilliseconds(std::string_view text) {
     std::int64_t value = 0;
     const auto result = std::from_chars(text.data(), text.data() + text.size(), value);
     if (result.ec != std::errc() || result.ptr != text.data() + text.size() || value < 0) {
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-wire::NodeRecord SidecarNode::firstRecord(const Settings& settings) {
+wire::NodeRecord SidecarNode::initialRecord(const Settings& settings) {
     wire::NodeRecord record;
     record.set_name(settings.name);
     record.set_incarnation(settings.incarnation);
@@ -49,16 +49,16 @@
       settings_(std::move(settings)),
       table_(settings_.incarnation),
       lease_(settings_.knobs.table_lease),
-      directory_(ports.clock, firstRecord(settings_)),
+      directory_(ports.clock, initialRecord(settings_)),
       gossip_(ports.clock, ports.random, ports.log, ports.nodes, directory_, table_, lease_, settings_.knobs.gossip),
       failure_detector_(ports.clock, directory_, gossip_, settings_.knobs.failure_detector),
-      instance_(ports.clock, settings_.knobs.longest_silence),
+      instance_(ports.clock, settings_.knobs.instance_timeout),
       quarantine_(ports.clock, settings_.knobs.quarantine),
       quarantine_exchange_(ports.clock, ports.random, ports.log, ports.nodes, directory_, quarantine_,
                            settings_.service, settings_.knobs.quarantine_exchange),
       relay_(
           ports.clock, ports.log, ports.instances, instance_, quarantine_, settings_.header_names,
-          settings_.instance_address, [this](const std::string& service) { return machineShare(service); },
+          settings_.instance_address, [this](const std::string& service) { return hostShare(service); },
           settings_.knobs.relay),
       bottlenecks_(settings_.knobs.bottlenecks),
       selector_(ports.clock, ports.random, directory_, settings_.knobs.selector),
@@ -80,13 +80,13 @@
                           onRelayResult(plan, relay, result);
                       },
                       [this](const entry::EntryPlan& plan) { return isOverloaded(plan); },
-                      settings_.knobs.weakening},
+                      settings_.knobs.disabled},
       store_session_(ports.clock, ports.random, ports.log, ports.store, directory_, gossip_, table_, lease_, settings_),
       shard_keeper_(ports.clock, ports.log, ports.store, directory_, table_, settings_.knobs.quota_shards),
       quota_(ports.clock, ports.random, ports.log, ports.nodes, directory_, table_, shard_keeper_,
              settings_.knobs.quota_client),
       intake_({ports.clock, table_, lease_, quota_, settings_.header_names, settings_.knobs.access}),
-      load_log_(ports.clock, ports.log, settings_.service, relay_, bottlenecks_, settings_.knobs.relay.repeats) {
+      load_logger_(ports.clock, ports.log, settings_.service, relay_, bottlenecks_, settings_.knobs.relay.repeats) {
     instance_.signalChanged().connect([this] { publishSelf(); });
     relay_.signalCrashed().connect(
         [this](const quarantine::CrashNotice& notice) { quarantine_exchange_.tell(notice); });
@@ -108,10 +108,10 @@
     quarantine_exchange_.start();
     store_session_.start();
     shard_keeper_.start();
-    load_log_.start();
+    load_logger_.start();
 }
 
-decision::Bottleneck SidecarNode::leastBottleneck() const {
+decision::Bottleneck SidecarNode::tightestBottleneck() const {
     return bottlenecks_.leastOfAll(ports_.clock.now());
 }
 
@@ -126,14 +126,14 @@
                          .with("service", record.service())
                          .with("state", wire::InstanceState_Name(record.state()))
                          .with("slots", record.slots()));
-    if (settings_.knobs.weakening.serves_draining && record.state() == wire::INSTANCE_DRAINING) {
+    if (settings_.knobs.disabled.drain_check && record.state() == wire::INSTANCE_DRAINING) {
         record.set_state(wire::INSTANCE_READY);
     }
     directory_.updateSelf(record, is_stopping_);
     relay_.setRelayCount(selector_.relayCount(settings_.service));
 }
 
-/// An instance whose service the table does not name is probed where it was before.
+/// Keeps the previous path if the table does not contain the instance's service.
 void SidecarNode::setProbePath() {
     for (const auto& service : table_.whole().services()) {
         if (service.name() == settings_.service && !service.health_path().empty()) {
@@ -155,9 +155,9 @@
     instance_.onLeave(id, born_ms);
 }
 
-/// What is known here is as old as that: others are asked at once. The instance was suspended as well, so that its
-/// silence says nothing: taken for dead, it would get no call until its next heartbeat, 1.5 s later.
-void SidecarNode::onWoken(Duration suspended) {
+/// The directory is out of date, so that gossip starts at once. The instance was suspended too: its missing heartbeats
+/// do not count.
+void SidecarNode::onHostResumed(Duration suspended) {
     ports_.log.write(Event("machine_suspended").with("for_ms", toMilliseconds(suspended)));
     instance_.onWoken();
     gossip_.introduceSelf();
@@ -165,28 +165,28 @@
 
 // Calls --------------------------------------------------------------------
 
-SidecarNode::CallNumber SidecarNode::handleCall(HttpRequest request, ReplyCallback reply) {
-    const auto number = ++last_call_;
-    intake_.start(number, std::move(request),
-                  [this, number, reply = std::move(reply)](HttpRequest taken, entry::CallIntake::Outcome outcome) {
-                      onIntake(number, std::move(taken), std::move(outcome), reply);
+SidecarNode::CallId SidecarNode::handleCall(HttpRequest request, ReplyCallback reply) {
+    const auto call_id = ++last_call_id_;
+    intake_.start(call_id, std::move(request),
+                  [this, call_id, reply = std::move(reply)](HttpRequest checked, entry::CallIntake::Outcome outcome) {
+                      onIntake(call_id, std::move(checked), std::move(outcome), reply);
                   });
-    return calls_.contains(number) || intake_.isWaiting(number) ? number : 0;
+    return calls_.contains(call_id) || intake_.isWaiting(call_id) ? call_id : 0;
 }
 
-void SidecarNode::onIntake(CallNumber number, HttpRequest request, entry::CallIntake::Outcome outcome,
+void SidecarNode::onIntake(CallId call_id, HttpRequest request, entry::CallIntake::Outcome outcome,
                            const ReplyCallback& reply) {
-    if (const auto* turned = std::get_if<entry::TurnedAway>(&outcome)) {
-        turnAway(request, *turned, reply);
+    if (const auto* rejected = std::get_if<entry::TurnedAway>(&outcome)) {
+        reject(request, *rejected, reply);
     } else {
-        beginCall(number, std::move(request), std::get<entry::Admitted>(outcome), reply);
+        beginCall(call_id, std::move(request), std::get<entry::Admitted>(outcome), reply);
     }
 }
 
-void SidecarNode::turnAway(const HttpRequest& request, const entry::TurnedAway& turned, const ReplyCallback& reply) {
-    const auto& refusal = turned.refusal;
-    const auto route = turned.route == nullptr ? std::string("none") : turned.route->name();
-    if (ports_.log.takes("request_turned_away")) {
+void SidecarNode::reject(const HttpRequest& request, const entry::TurnedAway& rejected, const ReplyCallback& reply) {
+    const auto& refusal = rejected.refusal;
+    const auto route = rejected.route == nullptr ? std::string("none") : rejected.route->name();
+    if (ports_.log.accepts("request_turned_away")) {
         ports_.log.write(Event("request_turned_away")
                              .with("request", request.headers.get(settings_.header_names.request_id))
                              .with("route", route)
@@ -195,26 +195,26 @@
                              .with("table", table_.version())
                              .with("table_age_ms", tableAge() ? toMilliseconds(*tableAge()) : -1));
     }
-    auto answer = plainAnswer(refusal.status, refusal.reason);
+    auto response = textResponse(refusal.status, refusal.reason);
     if (refusal.retry_after > Duration::zero()) {
-        answer.headers.set("Retry-After", entry::secondsText(refusal.retry_after));
+        response.headers.set("Retry-After", entry::secondsText(refusal.retry_after));
     }
-    reply(std::move(answer));
+    reply(std::move(response));
     signal_call_ended_.emit(
         {entry::EntryEnd::kRefused, route, "none", refusal.reason, Duration::zero(), refusal.status});
 }
 
-void SidecarNode::beginCall(CallNumber number, HttpRequest request, const entry::Admitted& admitted,
+void SidecarNode::beginCall(CallId call_id, HttpRequest request, const entry::Admitted& admitted,
                             const ReplyCallback& reply) {
-    auto planned = plan(std::move(request), admitted);
-    const bool is_admitted = admit(&planned);
+    auto entry_plan = makePlan(std::move(request), admitted);
+    const bool is_admitted = admit(&entry_plan);
     if (admitted.token) {
-        spent_[number] = {admitted.tenant->name(), *admitted.token};
+        spent_tokens_[call_id] = {admitted.tenant->name(), *admitted.token};
     }
     auto call = std::make_unique<entry::EntryCall>(
-        entry_services_, std::move(planned), reply,
-        [this, number](const entry::EntryReport& report) { onCallEnded(number, report); });
-    auto& started = *(calls_[number] = std::move(call));
+        entry_services_, std::move(entry_plan), reply,
+        [this, call_id](const entry::EntryReport& report) { onCallEnded(call_id, report); });
+    auto& started = *(calls_[call_id] = std::move(call));
     if (is_admitted) {
         started.start();
     } else {
@@ -222,62 +222,63 @@
     }
 }
 
-entry::EntryPlan SidecarNode::plan(HttpRequest request, const entry::Admitted& admitted) {
+entry::EntryPlan SidecarNode::makePlan(HttpRequest request, const entry::Admitted& admitted) {
     const auto& names = settings_.header_names;
     const auto& route = admitted.route;
     const auto* tenant = admitted.tenant.get();
-    const Duration longest = std::chrono::milliseconds(route->timeout_ms());
-    const auto wanted = millisecondsIn(request.headers.get(names.deadline_ms)).value_or(longest);
+    const Duration max_time = std::chrono::milliseconds(route->timeout_ms());
+    const auto requested_time = parseMilliseconds(request.headers.get(names.deadline_ms)).value_or(max_time);
     removeHopByHopHeaders(request.headers);
     request.headers.removePrefix(relay::kRelayHeaderPrefix);
     request.headers.remove("expect");
     request.headers.remove(names.expected_instance);
     request.headers.set(names.caller_service, settings_.service);
-    if (!settings_.knobs.weakening.hands_on_keys) {
+    if (!settings_.knobs.disabled.credential_removal) {
         entry::applyAccess(table_, names, tenant, &request.headers);
     }
     entry::EntryPlan plan;
     plan.route = route;
     plan.priority = route->priority();
     plan.rank = policy::rankOf(*route, tenant);
-    plan.caller_deadline = wanted;
-    plan.service = serviceFor(*route);
-    plan.deadline = ports_.clock.now() + (route->timeout_ms() == 0 ? wanted : std::min(wanted, longest));
+    plan.caller_deadline = requested_time;
+    plan.service = selectService(*route);
+    plan.deadline =
+        ports_.clock.now() + (route->timeout_ms() == 0 ? requested_time : std::min(requested_time, max_time));
     plan.request = std::move(request);
     return plan;
 }
 
-/// The part whose turn it is; another one if no instance of it is known.
-std::string SidecarNode::serviceFor(const wire::Route& route) {
+/// Next service by the weights of the route's parts; another part if that service has no known instance.
+std::string SidecarNode::selectService(const wire::Route& route) {
     const auto found = dividers_.try_emplace(route.name(), ports_.random.unit()).first;
-    auto chosen = route.parts(static_cast<int>(found->second.next(route))).service();
-    if (selector_.hasRelay(chosen)) {
-        return chosen;
+    auto service = route.parts(static_cast<int>(found->second.next(route))).service();
+    if (selector_.hasRelay(service)) {
+        return service;
     }
     const auto other = std::find_if(route.parts().begin(), route.parts().end(), [this](const auto& part) {
         return part.weight() > 0 && selector_.hasRelay(part.service());
     });
-    return other == route.parts().end() ? chosen : other->service();
+    return other == route.parts().end() ? service : other->service();
 }
 
-/// Inner calls are never refused here: what was done for them would be wasted.
+/// Always admits internal calls, since a rejection would waste the work already done for their callers.
 bool SidecarNode::admit(entry::EntryPlan* plan) {
     const auto now = ports_.clock.now();
     const auto& route = plan->route->name();
-    const bool is_repeat = deadlines_.isShortened(now, route, plan->caller_deadline);
+    const bool is_client_retry = deadlines_.isShortened(now, route, plan->caller_deadline);
     if (bottlenecks_.isInner(route)) {
         plan->lineage = relay_.callGraph().onCall(now, route, plan->caller_deadline);
         return true;
     }
     const auto bottleneck = bottlenecks_.least(now, route);
-    plan->lineage.represents = 1 / std::max(kLeastLevel, bottleneck.level);
-    return admission_.admits(now, bottleneck, plan->rank, is_repeat);
+    plan->lineage.represents = 1 / std::max(kMinAdmitRatio, bottleneck.level);
+    return admission_.admits(now, bottleneck, plan->rank, is_client_retry);
 }
 
-/// This node counts as one with an instance also before the first heartbeat.
-double SidecarNode::machineShare(const std::string& service) const {
-    const auto same = directory_.othersWith(service).size() + (settings_.service == service ? 1 : 0);
-    return static_cast<double>(same) / static_cast<double>(directory_.othersWithInstance() + 1);
+/// Share of all nodes with an instance that host `service`. This node counts even before its first heartbeat.
+double SidecarNode::hostShare(const std::string& service) const {
+    const auto hosts = directory_.othersWith(service).size() + (settings_.service == service ? 1 : 0);
+    return static_cast<double>(hosts) / static_cast<double>(directory_.othersWithInstance() + 1);
 }
 
 bool SidecarNode::isOverloaded(const entry::EntryPlan& plan) const {
@@ -295,27 +296,27 @@
 
 void SidecarNode::onNodeSilent(const std::string& name) {
     ports_.log.write(Event("node_silent").with("peer", name));
-    std::vector<CallNumber> numbers;
-    for (const auto& [number, call] : calls_) {
-        numbers.push_back(number);
+    std::vector<CallId> call_ids;
+    for (const auto& [call_id, call] : calls_) {
+        call_ids.push_back(call_id);
     }
-    for (const auto number : numbers) {
-        if (const auto found = calls_.find(number); found != calls_.end()) {
+    for (const auto call_id : call_ids) {
+        if (const auto found = calls_.find(call_id); found != calls_.end()) {
             found->second->onNodeSilent(name);
         }
     }
 }
 
-/// The call that has just ended is still on the stack: it is destroyed from a timer.
-void SidecarNode::onCallEnded(CallNumber number, const entry::EntryReport& report) {
+/// Destroys the call from a timer, since its member functions are still on the stack.
+void SidecarNode::onCallEnded(CallId call_id, const entry::EntryReport& report) {
     signal_call_ended_.emit(report);
     if (!isSuccess(report.status) && bottlenecks_.isInner(report.route)) {
         relay_.callGraph().onCallFailed(ports_.clock.now());
     }
-    if (const auto spent = spent_.extract(number); !spent.empty() && report.end == entry::EntryEnd::kRefused) {
+    if (const auto spent = spent_tokens_.extract(call_id); !spent.empty() && report.end == entry::EntryEnd::kRefused) {
         quota_.giveBack(spent.mapped().tenant, spent.mapped().token);
     }
-    auto ended = calls_.extract(number);
+    auto ended = calls_.extract(call_id);
     if (!ended.empty()) {
         ended_calls_.push_back(std::move(ended.mapped()));
     }
@@ -324,7 +325,7 @@
     }
 }
 
-SidecarNode::CallNumber SidecarNode::handleNodeRequest(HttpRequest request, const ReplyCallback& reply) {
+SidecarNode::CallId SidecarNode::handleNodeRequest(HttpRequest request, const ReplyCallback& reply) {
     if (request.path == fleet::kGossipPath && request.method == "POST") {
         reply(gossip_.handle(request));
         return 0;
@@ -339,34 +340,35 @@
     }
     auto received = relay::fromHttp(std::move(request), ports_.clock.now());
     if (!received) {
-        reply(plainAnswer(kHttpNotFound, "neither gossip nor a relayed call"));
+        reply(textResponse(kHttpNotFound, "neither gossip nor a relayed call"));
         return 0;
     }
     gossip_.onTableVersionSeen(received->sender.name, received->sender.table_version);
     return relayCall(std::move(received->request), reply);
 }
 
-SidecarNode::CallNumber SidecarNode::relayCall(relay::RelayRequest request, const ReplyCallback& reply) {
+SidecarNode::CallId SidecarNode::relayCall(relay::RelayRequest request, const ReplyCallback& reply) {
     ++counters_.relayed;
-    const auto number = ++last_call_;
-    const std::string id(request.request.headers.get(settings_.header_names.request_id));
+    const auto call_id = ++last_call_id_;
+    const std::string request_id(request.request.headers.get(settings_.header_names.request_id));
     const auto route = request.route;
-    relayed_[number] = relay_.start(std::move(request), [this, number, id, route, reply](relay::RelayResult result) {
-        relayed_.erase(number);
-        logRelayed(id, result);
-        result.report.below = bottlenecks_.leastBelow(ports_.clock.now(), route, relay_.callGraph());
-        reply(relay::toHttp(std::move(result), {settings_.name, table_.version(), tableAge()}));
-    });
-    return number;
-}
-
-void SidecarNode::logRelayed(const std::string& request, const relay::RelayResult& result) {
-    const bool is_answered = result.outcome == relay::RelayOutcome::kAnswered;
-    if (!ports_.log.takes(is_answered ? "relayed" : "relay_refused")) {
+    relayed_calls_[call_id] =
+        relay_.start(std::move(request), [this, call_id, request_id, route, reply](relay::RelayResult result) {
+            relayed_calls_.erase(call_id);
+            logRelayed(request_id, result);
+            result.report.below = bottlenecks_.leastBelow(ports_.clock.now(), route, relay_.callGraph());
+            reply(relay::toHttp(std::move(result), {settings_.name, table_.version(), tableAge()}));
+        });
+    return call_id;
+}
+
+void SidecarNode::logRelayed(const std::string& request_id, const relay::RelayResult& result) {
+    const bool has_response = result.outcome == relay::RelayOutcome::kResponded;
+    if (!ports_.log.accepts(has_response ? "relayed" : "relay_refused")) {
         return;
     }
-    auto event = is_answered ? Event("relayed") : Event("relay_refused");
-    ports_.log.write(event.with("request", request)
+    auto event = has_response ? Event("relayed") : Event("relay_refused");
+    ports_.log.write(event.with("request", request_id)
                          .with("instance", instance::lifeName(instance_.record()))
                          .with("reason", relay::reasonText(result.reason))
                          .with("offered", result.was_offered ? "yes" : "no")
@@ -376,52 +378,52 @@
                          .with("level", result.report.load.level()));
 }
 
-void SidecarNode::callerLeft(CallNumber number) {
-    if (settings_.knobs.weakening.ignores_gone_callers) {
+void SidecarNode::cancelCall(CallId call_id) {
+    if (settings_.knobs.disabled.caller_cancellation) {
         return;
     }
-    intake_.cancel(number);
-    calls_.erase(number);
-    spent_.erase(number);
-    if (const auto relayed = relayed_.extract(number); !relayed.empty()) {
+    intake_.cancel(call_id);
+    calls_.erase(call_id);
+    spent_tokens_.erase(call_id);
+    if (const auto relayed = relayed_calls_.extract(call_id); !relayed.empty()) {
         relay_.cancel(relayed.mapped());
     }
 }
 
 // Stop ---------------------------------------------------------------------
 
-void SidecarNode::stop(std::function<void()> led_away, std::function<void()> done) {
+void SidecarNode::stop(std::function<void()> drained, std::function<void()> done) {
     if (is_stopping_) {
         return;
     }
     is_stopping_ = true;
-    stop_began_ = ports_.clock.now();
-    led_away_ = std::move(led_away);
-    stopped_ = std::move(done);
+    stop_started_ = ports_.clock.now();
+    drained_ = std::move(drained);
+    done_ = std::move(done);
     ports_.log.write(Event("node_stopping").with("in_flight", inFlight()));
-    relay_.stop(stop_began_ + settings_.knobs.longest_stop - kStopCheck);
+    relay_.stop(stop_started_ + settings_.knobs.max_stop_time - kStopCheckInterval);
     shard_keeper_.release();
     directory_.updateSelf(instance_.record(), true);
     if (instance_.record().state() == wire::INSTANCE_GONE) {
         store_session_.withdraw();
     }
-    stop_timer_ = ports_.clock.startTimer(settings_.knobs.stop_serving, [this] { onLedAway(); });
+    stop_timer_ = ports_.clock.startTimer(settings_.knobs.drain_time, [this] { onDrained(); });
 }
 
-void SidecarNode::onLedAway() {
-    led_away_();
+void SidecarNode::onDrained() {
+    drained_();
     relay_.close();
     checkStopped();
 }
 
 void SidecarNode::checkStopped() {
-    const auto elapsed = ports_.clock.now() - stop_began_;
-    if (inFlight() == 0 || settings_.knobs.weakening.stops_without_waiting || elapsed >= settings_.knobs.longest_stop) {
+    const auto elapsed = ports_.clock.now() - stop_started_;
+    if (inFlight() == 0 || settings_.knobs.disabled.shutdown_wait || elapsed >= settings_.knobs.max_stop_time) {
         ports_.log.write(Event("node_idle").with("in_flight", inFlight()).with("after_ms", toMilliseconds(elapsed)));
-        stopped_();
+        done_();
         return;
     }
-    stop_timer_ = ports_.clock.startTimer(kStopCheck, [this] { checkStopped(); });
+    stop_timer_ = ports_.clock.startTimer(kStopCheckInterval, [this] { checkStopped(); });
 }
 
 }  // namespace dewcrank::sidecar
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -1,6 +1,6 @@
 /// @file
-/// A node beside one application instance: entry for the callers on its machine, relay for its
-/// instance. The same object runs in the daemon and in simulations.
+/// Sidecar of one application instance: entry for the calls of local callers and of the instance, relay for the calls
+/// to the instance. Runs in the daemon and in simulations.
 #pragma once
 
 #include <cstdint>
@@ -21,39 +21,39 @@
 #include "src/fleet/node_directory.h"
 #include "src/instance/local_instance.h"
 #include "src/policy/route_table.h"
-#include "src/ports/back_end_port.h"
 #include "src/ports/clock.h"
 #include "src/ports/control_store.h"
 #include "src/ports/event_log.h"
+#include "src/ports/http_transport.h"
 #include "src/ports/random_source.h"
 #include "src/relay/relay_service.h"
-#include "src/sidecar/load_log.h"
+#include "src/sidecar/load_logger.h"
 #include "src/sidecar/settings.h"
 #include "src/sidecar/store_session.h"
 
 namespace dewcrank::sidecar {
 
-/// What a node is given. All outlive it.
+/// Interfaces to the environment. All must outlive the node.
 struct Ports {
     Clock& clock;
     RandomSource& random;
-    BackEndPort& nodes;      ///< Other nodes.
-    BackEndPort& instances;  ///< The instance beside it.
+    HttpTransport& nodes;      ///< Sends requests to other nodes.
+    HttpTransport& instances;  ///< Sends requests to the local instance.
     ControlStore& store;
     EventLog& log;
 };
 
-/// Counts of what the node has done.
+/// Event counts since the start, for the metrics.
 struct Counters {
-    std::uint64_t relayed = 0;
-    std::uint64_t heartbeats = 0;
+    std::uint64_t relayed = 0;     ///< Calls received from other nodes.
+    std::uint64_t heartbeats = 0;  ///< Accepted heartbeats of the local instance.
 };
 
-/// Owns no socket, clock or thread. All calls come from one loop on one thread.
+/// Wires all parts of a node together. Owns no socket, clock or thread; all calls come from one event loop.
 class SidecarNode {
 public:
-    using CallNumber = std::uint64_t;
-    using ReplyCallback = std::function<void(HttpAnswer)>;
+    using CallId = std::uint64_t;
+    using ReplyCallback = std::function<void(HttpResponse)>;
 
     SidecarNode(const Ports& ports, Settings settings);
     ~SidecarNode();
@@ -62,73 +62,72 @@
 
     void start();
 
-    /// A request of a caller on this machine, or of its instance. The reply is called exactly
-    /// once, perhaps at once, unless the caller leaves first.
-    /// @return a number for `callerLeft`; 0 if it has been answered at once.
-    CallNumber handleCall(HttpRequest request, ReplyCallback reply);
-    /// A request of another node: a relayed call, or gossip.
-    CallNumber handleNodeRequest(HttpRequest request, const ReplyCallback& reply);
-    /// Whoever sent the request has gone; its reply is not called any more.
-    void callerLeft(CallNumber number);
+    /// Handles a request of a local caller or of the local instance. Calls `reply` exactly once, possibly inside this
+    /// call, unless the call is cancelled first.
+    /// @return an id for cancelCall(); 0 if `reply` has been called already.
+    CallId handleCall(HttpRequest request, ReplyCallback reply);
+    /// Handles a request of another node: gossip, quarantine or quota exchange, or a call for the local instance.
+    CallId handleNodeRequest(HttpRequest request, const ReplyCallback& reply);
+    /// Cancels a call whose client has disconnected; its reply is not called any more.
+    void cancelCall(CallId call_id);
 
-    /// @return false if it names a service that is none of the fleet's; nothing is changed by it.
+    /// @return false if the heartbeat names a service that is not part of the fleet; it is ignored then.
     bool onHeartbeat(const instance::Heartbeat& heartbeat);
+    /// The instance deregisters. @param born_ms start time of its incarnation in milliseconds; 0: not given.
     void onInstanceLeave(const std::string& id, std::uint64_t born_ms = 0);
-    /// The machine has been suspended for so long, as its clock tells.
-    void onWoken(Duration suspended);
+    /// The host has resumed after it was suspended for this time.
+    void onHostResumed(Duration suspended);
 
-    /// Leads callers away. Calls `led_away` once when callers have had the time to go
-    /// elsewhere, from when on no further request may be handed in; then `done` once when
-    /// nothing is in flight any more.
-    void stop(std::function<void()> led_away, std::function<void()> done);
+    /// Starts a graceful shutdown. Calls `drained` after the drain time, from when on no further request may be passed
+    /// to the node; then `done` once no call is in flight, or after the maximum stop time.
+    void stop(std::function<void()> drained, std::function<void()> done);
 
-    /// True if callers may be sent here.
+    /// @return true if this node can take calls: it has a table, has joined the fleet and is not stopping.
     [[nodiscard]] bool isReady() const;
     [[nodiscard]] bool isStopping() const { return is_stopping_; }
     [[nodiscard]] std::size_t inFlight() const { return calls_.size() + intake_.waitingCount() + relay_.inFlight(); }
     [[nodiscard]] policy::RouteTable& table() { return table_; }
     [[nodiscard]] const fleet::NodeDirectory& directory() const { return directory_; }
     [[nodiscard]] const policy::RouteTable& table() const { return table_; }
-    /// The service of which least is asked at present, among those that this node knows of.
-    [[nodiscard]] decision::Bottleneck leastBottleneck() const;
-    /// Emitted with each call of this entry that has ended.
+    /// @return the known bottleneck with the lowest admission ratio.
+    [[nodiscard]] decision::Bottleneck tightestBottleneck() const;
+    /// Emitted when a call of a caller has ended, including rejected calls.
     sigc::signal<void(const entry::EntryReport&)>& signalCallEnded() { return signal_call_ended_; }
     [[nodiscard]] const Counters& counters() const { return counters_; }
     [[nodiscard]] const relay::RelayService& relay() const { return relay_; }
-    /// What the instance is asked for and can give.
+    /// @return demand and capacity of the local instance.
     [[nodiscard]] decision::ServiceLoad serviceLoad() { return relay_.serviceLoad(); }
     [[nodiscard]] const quarantine::Quarantine& quarantine() const { return quarantine_; }
     [[nodiscard]] const quota::QuotaClient& quota() const { return quota_; }
-    /// Shards of the quotas that this node hands out the tokens of.
+    /// @return the number of quota shards whose tokens this node grants.
     [[nodiscard]] std::size_t quotaShards() const { return shard_keeper_.grantingCount(); }
-    /// Lives of the instances beside this node that it knows something of.
+    /// @return the number of incarnations of local instances that are on record.
     [[nodiscard]] std::size_t rememberedLives() const { return instance_.rememberedLives(); }
     [[nodiscard]] bool ownsQuotaShard(std::uint32_t shard) const { return shard_keeper_.mayGrant(shard); }
-    /// How often the store has come back from an older copy, as far as is known here.
+    /// @return the newest known store era (see ControlStore::era()).
     [[nodiscard]] std::uint64_t storeEra() const { return gossip_.storeEra(); }
-    /// How long ago the table was known to be the newest; nothing if it never was.
+    /// @return time since the table was last confirmed as the newest; nothing if it never was.
     [[nodiscard]] std::optional<Duration> tableAge() const { return lease_.age(ports_.clock.now()); }
     [[nodiscard]] decision::RepeatWindow repeatWindow() { return relay_.repeatWindow(); }
 
 private:
-    [[nodiscard]] static wire::NodeRecord firstRecord(const Settings& settings);
-    void onIntake(CallNumber number, HttpRequest request, entry::CallIntake::Outcome outcome,
-                  const ReplyCallback& reply);
-    void turnAway(const HttpRequest& request, const entry::TurnedAway& turned, const ReplyCallback& reply);
-    void beginCall(CallNumber number, HttpRequest request, const entry::Admitted& admitted, const ReplyCallback& reply);
-    entry::EntryPlan plan(HttpRequest request, const entry::Admitted& admitted);
-    std::string serviceFor(const wire::Route& route);
-    CallNumber relayCall(relay::RelayRequest request, const ReplyCallback& reply);
-    [[nodiscard]] double machineShare(const std::string& service) const;
+    [[nodiscard]] static wire::NodeRecord initialRecord(const Settings& settings);
+    void onIntake(CallId call_id, HttpRequest request, entry::CallIntake::Outcome outcome, const ReplyCallback& reply);
+    void reject(const HttpRequest& request, const entry::TurnedAway& rejected, const ReplyCallback& reply);
+    void beginCall(CallId call_id, HttpRequest request, const entry::Admitted& admitted, const ReplyCallback& reply);
+    entry::EntryPlan makePlan(HttpRequest request, const entry::Admitted& admitted);
+    std::string selectService(const wire::Route& route);
+    CallId relayCall(relay::RelayRequest request, const ReplyCallback& reply);
+    [[nodiscard]] double hostShare(const std::string& service) const;
     [[nodiscard]] bool isOverloaded(const entry::EntryPlan& plan) const;
     void onRelayResult(const entry::EntryPlan& plan, const std::string& relay, const relay::RelayResult& result);
     bool admit(entry::EntryPlan* plan);
-    void onCallEnded(CallNumber number, const entry::EntryReport& report);
-    void logRelayed(const std::string& request, const relay::RelayResult& result);
+    void onCallEnded(CallId call_id, const entry::EntryReport& report);
+    void logRelayed(const std::string& request_id, const relay::RelayResult& result);
     void publishSelf();
     void setProbePath();
     void onNodeSilent(const std::string& name);
-    void onLedAway();
+    void onDrained();
     void checkStopped();
 
     Ports ports_;
@@ -152,24 +151,24 @@
     quota::ShardKeeper shard_keeper_;
     quota::QuotaClient quota_;
     entry::CallIntake intake_;
-    LoadLog load_log_;
+    LoadLogger load_logger_;
     decision::UsualDeadlines deadlines_;
-    std::map<std::string, policy::TrafficDivider> dividers_;  ///< By route.
-    CallNumber last_call_ = 0;
-    std::map<CallNumber, std::unique_ptr<entry::EntryCall>> calls_;
-    /// What a call of calls_ has taken from its tenant's quota.
-    struct Spent {
+    std::map<std::string, policy::TrafficDivider> dividers_;  ///< By route name.
+    CallId last_call_id_ = 0;
+    std::map<CallId, std::unique_ptr<entry::EntryCall>> calls_;
+    /// Quota token of a call in calls_.
+    struct SpentToken {
         std::string tenant;
         quota::Token token;
     };
-    std::map<CallNumber, Spent> spent_;
-    std::map<CallNumber, relay::RelayService::Number> relayed_;
-    std::vector<std::unique_ptr<entry::EntryCall>> ended_calls_;
+    std::map<CallId, SpentToken> spent_tokens_;
+    std::map<CallId, relay::RelayService::Number> relayed_calls_;
+    std::vector<std::unique_ptr<entry::EntryCall>> ended_calls_;  ///< Destroyed later by ended_timer_.
     TimerHandle ended_timer_;
     bool is_stopping_ = false;
-    TimePoint stop_began_{};
-    std::function<void()> led_away_;
-    std::function<void()> stopped_;
+    TimePoint stop_started_{};
+    std::function<void()> drained_;
+    std::function<void()> done_;
     TimerHandle stop_timer_;
 };
 
--- a/src/sidecar/store_session.h
+++ b/src/sidecar/store_session.h
@@ -1,47 +1,47 @@
 /// @file
-/// A node's dealings with the platform's store: it finds the others, and follows the table.
+/// A node's use of the platform's store: peer discovery, then watching the route table.
 #pragma once
 
-#include "src/sidecar/fleet_contacts.h"
+#include "src/sidecar/peer_discovery.h"
 #include "src/sidecar/settings.h"
-#include "src/sidecar/table_follower.h"
+#include "src/sidecar/table_watcher.h"
 
 namespace dewcrank::sidecar {
 
-/// First the others are found, then the table is followed: who follows it depends on who is there.
+/// Starts peer discovery, and the table watcher once discovery has ended: which nodes watch depends on the known nodes.
 class StoreSession {
 public:
     StoreSession(Clock& clock, RandomSource& random, EventLog& log, ControlStore& store,
                  fleet::NodeDirectory& directory, fleet::Gossip& gossip, policy::RouteTable& table,
                  policy::TableLease& lease, const Settings& settings)
         : clock_(clock),
-          contacts_(clock, random, log, store, directory, gossip, settings.knobs.fleet_contacts, settings.seeds),
-          follower_(clock, random, log, store, directory, gossip, table, lease, settings.knobs.table_follower,
-                    settings.knobs.table_refresher) {}
+          discovery_(clock, random, log, store, directory, gossip, settings.knobs.peer_discovery, settings.seeds),
+          watcher_(clock, random, log, store, directory, gossip, table, lease, settings.knobs.table_watcher,
+                   settings.knobs.table_refresher) {}
 
     void start() {
-        contacts_.start();
-        awaitOthers();
+        discovery_.start();
+        awaitJoined();
     }
-    /// Takes this node off the store's list; it is not coming back.
-    void withdraw() { contacts_.withdraw(); }
-    /// True once another node has been heard, or it is known that there is none.
-    [[nodiscard]] bool isJoined() const { return contacts_.isJoined(); }
+    /// Removes this node from the store's list, before it shuts down for good.
+    void withdraw() { discovery_.withdraw(); }
+    /// @return true once another node has been in contact, or the list has shown that there is none.
+    [[nodiscard]] bool isJoined() const { return discovery_.isJoined(); }
 
 private:
-    static constexpr Duration kJoinedLook = 50ms;
+    static constexpr Duration kJoinCheckInterval = 50ms;
 
-    void awaitOthers() {
+    void awaitJoined() {
         if (isJoined()) {
-            follower_.start();
+            watcher_.start();
         } else {
-            timer_ = clock_.startTimer(kJoinedLook, [this] { awaitOthers(); });
+            timer_ = clock_.startTimer(kJoinCheckInterval, [this] { awaitJoined(); });
         }
     }
 
     Clock& clock_;
-    FleetContacts contacts_;
-    TableFollower follower_;
+    PeerDiscovery discovery_;
+    TableWatcher watcher_;
     TimerHandle timer_;
 };
 
--- a/src/sidecar/table_refresher.cc
+++ b/src/sidecar/table_refresher.cc
@@ -15,29 +15,29 @@
       lease_(lease),
       knobs_(knobs),
       read_(std::move(read)),
-      pause_(knobs.first_pause) {}
+      backoff_(knobs.min_backoff) {}
 
 void TableRefresher::start() {
     if (lease_.isRequired()) {
-        drawAge();
-        look();
+        drawReadAge();
+        check();
     }
 }
 
-void TableRefresher::drawAge() {
-    const auto spread = static_cast<std::uint64_t>((knobs_.most_age - knobs_.least_age).count());
-    read_age_ = knobs_.least_age + Duration(static_cast<std::int64_t>(random_.below(spread)));
+void TableRefresher::drawReadAge() {
+    const auto spread = static_cast<std::uint64_t>((knobs_.max_read_age - knobs_.min_read_age).count());
+    read_age_ = knobs_.min_read_age + Duration(static_cast<std::int64_t>(random_.below(spread)));
 }
 
-void TableRefresher::look() {
-    timer_ = clock_.startTimer(knobs_.look_interval, [this] { look(); });
+void TableRefresher::check() {
+    timer_ = clock_.startTimer(knobs_.check_interval, [this] { check(); });
     if (!isActive()) {
         return;
     }
     const auto now = clock_.now();
     const auto age = lease_.age(now);
-    if (!age || *age > knobs_.peers_age) {
-        gossip_.askForTableAge(knobs_.peers_asked);
+    if (!age || *age > knobs_.peer_request_age) {
+        gossip_.askForTableAge(knobs_.peers_per_request);
     }
     if ((!age || *age > read_age_) && !is_reading_ && now >= next_read_) {
         is_reading_ = true;
@@ -47,14 +47,14 @@
 
 void TableRefresher::onReadEnded(bool is_read) {
     is_reading_ = false;
-    drawAge();
+    drawReadAge();
     if (is_read) {
-        pause_ = knobs_.first_pause;
+        backoff_ = knobs_.min_backoff;
         return;
     }
-    const auto spread = static_cast<std::uint64_t>(pause_.count());
-    next_read_ = clock_.now() + pause_ / 2 + Duration(static_cast<std::int64_t>(random_.below(spread)));
-    pause_ = std::min(pause_ * 2, knobs_.longest_pause);
+    const auto spread = static_cast<std::uint64_t>(backoff_.count());
+    next_read_ = clock_.now() + backoff_ / 2 + Duration(static_cast<std::int64_t>(random_.below(spread)));
+    backoff_ = std::min(backoff_ * 2, knobs_.max_backoff);
 }
 
 }  // namespace dewcrank::sidecar
--- a/src/sidecar/table_refresher.h
+++ b/src/sidecar/table_refresher.h
@@ -1,5 +1,6 @@
 /// @file
-/// Keeps the table's lease alive: asks peers how fresh their tables are, and reads the store when none of them knows.
+/// Renews the lease of the route table: polls peers for the age of their tables, and reads the store if no peer has a
+/// recent confirmation.
 #pragma once
 
 #include <functional>
@@ -12,35 +13,35 @@
 
 namespace dewcrank::sidecar {
 
-/// Constants of the refreshing.
+/// Constants of the table refresher.
 struct TableRefresherKnobs {
-    Duration look_interval = 100ms;
-    /// A lease that is older than this, uniform between the two, makes a node read the store. Whoever draws the least
-    /// reads for all: its answers tell the others, which draw anew. What is between the two is as long as news takes
-    /// through the fleet a few times over, so that few read at a time.
-    Duration least_age = 900ms;
-    Duration most_age = 2700ms;
-    /// Older than this: peers are asked at each look, not only heard beside the answers to calls.
-    Duration peers_age = 800ms;
-    std::size_t peers_asked = 1;
-    Duration first_pause = 300ms;  ///< After a read that failed; doubled up to the longest.
-    Duration longest_pause = 2s;
+    Duration check_interval = 100ms;  ///< Time between checks of the lease's age.
+    /// A node reads the store when its lease is older than a random age between these two. The confirmation spreads to
+    /// the other nodes, which draw new ages. The range is a few times the spreading time, so that few nodes read.
+    Duration min_read_age = 900ms;
+    Duration max_read_age = 2700ms;
+    /// Above this age of the lease, peers are polled at each check; responses to other calls report their ages as well.
+    Duration peer_request_age = 800ms;
+    std::size_t peers_per_request = 1;
+    Duration min_backoff = 300ms;  ///< After a failed read; exponential backoff.
+    Duration max_backoff = 2s;
 };
 
-/// Only where keys are bound to a lease.
+/// Polls peers and the store before the lease of the table expires. Active only if keys are bound to a lease and the
+/// table has tenants.
 class TableRefresher {
 public:
-    /// @param read reads the store, and tells the refresher what became of it.
+    /// @param read starts a read of the store, and calls onReadEnded() when it ends.
     TableRefresher(Clock& clock, RandomSource& random, fleet::Gossip& gossip, const policy::RouteTable& table,
                    const policy::TableLease& lease, TableRefresherKnobs knobs, std::function<void()> read);
     void start();
-    void onReadEnded(bool is_read);
-    /// True if this part reads the table, so that no watch is needed.
+    void onReadEnded(bool is_read);  ///< @param is_read the store responded.
+    /// @return true if the refresher reads the store when the lease grows old.
     [[nodiscard]] bool isActive() const { return lease_.isRequired() && table_.hasTenants(); }
 
 private:
-    void look();
-    void drawAge();
+    void check();
+    void drawReadAge();
 
     Clock& clock_;
     RandomSource& random_;
@@ -50,8 +51,8 @@
     TableRefresherKnobs knobs_;
     std::function<void()> read_;
     bool is_reading_ = false;
-    Duration read_age_{};  ///< Drawn; the store is read when the lease is older.
-    Duration pause_{};
+    Duration read_age_{};  ///< Random age of the lease at which this node reads the store.
+    Duration backoff_{};
     TimePoint next_read_{};
     TimerHandle timer_;
 };
--- /dev/null
+++ b/src/sidecar/table_watcher.cc
@@ -0,0 +1,190 @@
+#include "src/sidecar/table_watcher.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace dewcrank::sidecar {
+
+TableWatcher::TableWatcher(Clock& clock, RandomSource& random, EventLog& log, ControlStore& store,
+                           fleet::NodeDirectory& directory, fleet::Gossip& gossip, policy::RouteTable& table,
+                           policy::TableLease& lease, const TableWatcherKnobs& knobs,
+                           const TableRefresherKnobs& refresher)
+    : clock_(clock),
+      random_(random),
+      log_(log),
+      store_(store),
+      directory_(directory),
+      gossip_(gossip),
+      ranking_(directory),
+      table_(table),
+      lease_(lease),
+      knobs_(knobs),
+      backoff_(knobs.min_backoff),
+      refresher_(clock, random, gossip, table, lease, refresher, [this] { refresh(); }) {}
+
+void TableWatcher::start() {
+    started_ = clock_.now();
+    refresher_.start();
+    check();
+}
+
+void TableWatcher::check() {
+    const auto interval = table_.isKnown() ? knobs_.check_interval : knobs_.first_check_interval;
+    check_timer_ = clock_.startTimer(interval, [this] { check(); });
+    probePredecessors();
+    countPositiveChecks();
+    if (!is_watching_ && isDue()) {
+        log_.write(Event("store_followed").with("zone", directory_.self().zone()));
+        startNextCall();
+    }
+    if (!isCandidate()) {
+        directory_.setStoreAway(false);
+    }
+}
+
+void TableWatcher::countPositiveChecks() {
+    const auto nodes = std::exchange(nodes_at_check_, directory_.otherCount());
+    const bool is_stable = table_.isKnown() || nodes == nodes_at_check_;
+    positive_checks_ = is_stable && isWatcher() ? positive_checks_ + 1 : 0;
+}
+
+bool TableWatcher::isDue() const {
+    const bool is_starting = clock_.now() - started_ < knobs_.startup_period;
+    const auto wanted = table_.isKnown() ? knobs_.checks_before_watching : knobs_.first_checks_before_watching;
+    return positive_checks_ >= (is_starting ? wanted : 1) || isIsolated();
+}
+
+// Choice of the watchers ---------------------------------------------------------
+
+bool TableWatcher::isCandidate() const {
+    return ranking_.ahead(knobs_.candidates).size() < knobs_.candidates;
+}
+
+/// Predecessors that report the store as unreachable are not counted. A node that reports so itself keeps trying.
+bool TableWatcher::isWatcher() const {
+    if (isIsolated()) {
+        return true;
+    }
+    const auto ahead = ranking_.ahead(knobs_.candidates);
+    if (ahead.size() >= knobs_.candidates || directory_.self().is_stopping()) {
+        return false;
+    }
+    const auto zones = directory_.zoneCount();
+    const auto wanted = (knobs_.watchers + zones - 1) / zones;
+    const auto watching = static_cast<std::size_t>(
+        std::count_if(ahead.begin(), ahead.end(), [](const auto* node) { return !node->record.is_store_away(); }));
+    return directory_.self().is_store_away() || watching < wanted;
+}
+
+bool TableWatcher::isIsolated() const {
+    const auto contact = directory_.lastHeard();
+    return !contact || clock_.now() - *contact > knobs_.max_isolation;
+}
+
+/// Detects failed predecessors, which may receive no other requests.
+void TableWatcher::probePredecessors() {
+    const auto ahead = ranking_.ahead(knobs_.candidates);
+    if (ahead.size() < knobs_.candidates) {
+        for (const auto* node : ahead) {
+            probeIfSilent(*node);
+        }
+    } else if (++checks_ % knobs_.checks_between_probes == 0) {
+        probeIfSilent(*ranking_.nearestAhead());
+    }
+}
+
+void TableWatcher::probeIfSilent(const fleet::KnownNode& node) {
+    if (clock_.now() - node.last_heard > knobs_.max_silence) {
+        gossip_.probe(node.record.name(), knobs_.probe_timeout, [](bool) {});
+    }
+}
+
+// Calls to the store -------------------------------------------------------------
+
+/// Starts the next call. After a failure it is a read, which shows sooner than a watch whether the store responds.
+void TableWatcher::startNextCall() {
+    is_watching_ = isWatcher();
+    if (!is_watching_) {
+        return;
+    }
+    if (revision_ == 0 || failures_ > 0) {
+        read();
+    } else {
+        store_.watchTable(revision_, knobs_.watch_timeout,
+                          [this](std::optional<TableRead> response) { onResponse(std::move(response), true); });
+    }
+}
+
+void TableWatcher::read() {
+    store_.readTable([this, sent = clock_.now()](std::optional<TableRead> response) {
+        adopt(&response, sent);
+        onResponse(std::move(response), false);
+    });
+}
+
+void TableWatcher::refresh() {
+    store_.readTable([this, sent = clock_.now()](std::optional<TableRead> response) {
+        const bool is_read = adopt(&response, sent);
+        if (!is_read) {
+            log_.write(Event("store_failed").with("step", "refresh"));
+        }
+        refresher_.onReadEnded(is_read);
+    });
+}
+
+/// Adopts the table of a read. A linearizable read also confirms the table's lease, unless the store returned an older
+/// version than has been seen: it was restored from a copy, and may lack further versions that revoke keys.
+/// @param sent time at which the read was started. @return true if the store responded.
+bool TableWatcher::adopt(std::optional<TableRead>* response, TimePoint sent) {
+    if (!*response) {
+        return false;
+    }
+    gossip_.onStoreEra(store_.era());
+    auto& table = (*response)->table;
+    const bool is_newest = (table ? table->version() : 0) >= table_.newestSeen();
+    if (table && table_.adopt(std::move(*table))) {
+        log_.write(Event("table_adopted").with("version", table_.version()).with("from", "store"));
+    }
+    table.reset();
+    if (is_newest) {
+        lease_.onRead(sent);
+    }
+    return true;
+}
+
+/// A watch that spans a restore of the store starts at a revision that was assigned twice and may miss changes: the
+/// table is read again.
+void TableWatcher::onResponse(std::optional<TableRead> response, bool is_watch) {
+    if (!response) {
+        onFailed();
+        return;
+    }
+    backoff_ = knobs_.min_backoff;
+    failures_ = 0;
+    directory_.setStoreAway(false);
+    if (response->table && table_.adopt(std::move(*response->table))) {
+        log_.write(Event("table_adopted").with("version", table_.version()).with("from", "store"));
+    }
+    gossip_.onStoreEra(store_.era());
+    const bool is_same_era = std::exchange(era_, gossip_.storeEra()) == gossip_.storeEra();
+    const bool is_outdated = store_.era() < gossip_.storeEra();
+    revision_ = (is_watch && !is_same_era) || is_outdated ? 0 : response->revision;
+    startNextCall();
+}
+
+void TableWatcher::onFailed() {
+    log_.write(Event("store_failed").with("step", "table"));
+    if (++failures_ >= knobs_.failures_to_hand_over && isCandidate()) {
+        directory_.setStoreAway(true);
+    }
+    retry_timer_ = clock_.startTimer(nextBackoff(), [this] { startNextCall(); });
+}
+
+Duration TableWatcher::nextBackoff() {
+    const auto spread = static_cast<std::uint64_t>(backoff_.count());
+    const auto wait = backoff_ / 2 + Duration(static_cast<std::int64_t>(random_.below(spread)));
+    backoff_ = std::min(backoff_ * 2, knobs_.max_backoff);
+    return wait;
+}
+
+}  // namespace dewcrank::sidecar
--- a/tests/contract/http_client_test.cc
+++ b/tests/contract/http_client_test.cc
@@ -34,18 +34,18 @@
 
 struct AnswerCase {
     const char* name;
-    std::string answer;
+    std::string response;
     bool closes;
     AttemptOutcome expected;
 };
 
 BOOST_AUTO_TEST_CASE(only_whole_answers_are_answers) {
     const AnswerCase cases[] = {
-        {"whole", kWhole, false, AttemptOutcome::kAnswered},
-        {"whole, then closed", kWhole, true, AttemptOutcome::kAnswered},
+        {"whole", kWhole, false, AttemptOutcome::kResponded},
+        {"whole, then closed", kWhole, true, AttemptOutcome::kResponded},
         {"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", false,
-         AttemptOutcome::kAnswered},
-        {"no content", "HTTP/1.1 204 No Content\r\n\r\n", false, AttemptOutcome::kAnswered},
+         AttemptOutcome::kResponded},
+        {"no content", "HTTP/1.1 204 No Content\r\n\r\n", false, AttemptOutcome::kResponded},
         {"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello", true, AttemptOutcome::kUnknown},
         {"cut in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n50\r\nhello", true,
          AttemptOutcome::kUnknown},
@@ -58,7 +58,7 @@
         {"too large", "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n", false, AttemptOutcome::kUnknown},
     };
     for (const auto& entry : cases) {
-        tests::RawServer server(loop, entry.answer, entry.closes);
+        tests::RawServer server(loop, entry.response, entry.closes);
         const auto result = call(server.address());
         BOOST_TEST((result.outcome == entry.expected), entry.name << ": " << result.reason);
         BOOST_TEST(server.requests() == 1, entry.name);
@@ -77,15 +77,15 @@
     request.path = "/";
     const auto attempt = lenient.send(server.address(), request, 5s, [&](AttemptResult ended) { result = ended; });
     runUntil([&] { return result.has_value(); });
-    BOOST_TEST((result->outcome == AttemptOutcome::kAnswered));
-    BOOST_TEST(result->answer.body == "hello");
+    BOOST_TEST((result->outcome == AttemptOutcome::kResponded));
+    BOOST_TEST(result->response.body == "hello");
 }
 
 BOOST_AUTO_TEST_CASE(bytes_behind_an_answer_spoil_the_connection) {
     tests::RawServer server(loop, kWhole + kWhole, false);
-    BOOST_TEST((call(server.address()).outcome == AttemptOutcome::kAnswered));
+    BOOST_TEST((call(server.address()).outcome == AttemptOutcome::kResponded));
     server.setAnswer(kWhole, false);
-    BOOST_TEST(call(server.address()).answer.body == "hello");
+    BOOST_TEST(call(server.address()).response.body == "hello");
     BOOST_TEST(server.connections() == 2);
 }
 
@@ -99,7 +99,7 @@
 BOOST_AUTO_TEST_CASE(connections_are_used_again) {
     tests::RawServer server(loop, kWhole, false);
     for (int count = 0; count < 5; ++count) {
-        BOOST_TEST((call(server.address()).outcome == AttemptOutcome::kAnswered));
+        BOOST_TEST((call(server.address()).outcome == AttemptOutcome::kResponded));
     }
     BOOST_TEST(server.connections() == 1);
 }
@@ -118,7 +118,7 @@
     tests::RawServer silent(loop, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", false);
     BOOST_TEST((call(silent.address(), 300ms).outcome == AttemptOutcome::kUnknown));
     silent.setAnswer(kWhole, false);
-    BOOST_TEST(call(silent.address()).answer.body == "hello");
+    BOOST_TEST(call(silent.address()).response.body == "hello");
     BOOST_TEST(silent.connections() == 2);  // The first one was not used again.
 }
 
--- a/tests/contract/http_server_test.cc
+++ b/tests/contract/http_server_test.cc
@@ -59,7 +59,7 @@
                                 [this](const HttpRequest&, const std::shared_ptr<adapters::ServerExchange>& open) {
                                     ++seen;
                                     if (answers) {
-                                        HttpAnswer answer;
+                                        HttpResponse answer;
                                         answer.status = 200;
                                         open->reply(answer);
                                         return;
@@ -127,7 +127,7 @@
     runUntil([&] { return seen == 1; });
     close(descriptor);
     runUntil([&] { return callers_left == 1; });
-    kept.front()->reply(HttpAnswer{});  // Too late: ignored.
+    kept.front()->reply(HttpResponse{});  // Too late: ignored.
 }
 
 BOOST_AUTO_TEST_CASE(requests_behind_each_other_are_answered_in_their_order) {
@@ -137,7 +137,7 @@
     BOOST_REQUIRE(write(descriptor, requests.data(), requests.size()) > 0);
     runUntil([&] { return seen == 2; });
     for (const int number : {1, 0}) {
-        HttpAnswer answer;
+        HttpResponse answer;
         answer.status = 200;
         answer.body = number == 0 ? "first" : "second";
         kept[static_cast<std::size_t>(number)]->reply(answer);
@@ -180,7 +180,7 @@
     char byte = 0;
     runUntil([&] { return recv(idle, &byte, 1, MSG_DONTWAIT) == 0; });
     BOOST_TEST(server.openConnections() == 1U);
-    HttpAnswer answer;
+    HttpResponse answer;
     answer.status = 200;
     kept.front()->reply(answer);
     runUntil([&] { return recv(busy, &byte, 1, MSG_DONTWAIT) == 1; });
@@ -195,7 +195,7 @@
     BOOST_REQUIRE(write(descriptor, request.data(), request.size()) > 0);
     runUntil([&] { return seen == 1; });
     server.stopAccepting();
-    HttpAnswer answer;
+    HttpResponse answer;
     answer.status = 200;
     kept.front()->reply(answer);
     std::string text;
--- a/tests/simulation/crashing_request_test.cc
+++ b/tests/simulation/crashing_request_test.cc
@@ -115,8 +115,8 @@
 
 /// Two at a time, one of which may run twice and one of which may not, beside requests of the same routes.
 /// @return promises that were seen broken, with what showed it.
-std::vector<sim::Breach> breachesUnder(const Fault& fault, std::uint64_t seed, const Weakening& weakening) {
-    sim::SidecarFleet fleet(seed, services({kRead, kSign}), weakening);
+std::vector<sim::Breach> breachesUnder(const Fault& fault, std::uint64_t seed, const DisabledMechanisms& disabled) {
+    sim::SidecarFleet fleet(seed, services({kRead, kSign}), disabled);
     fleet.putTable("leaf", "leaf", "leaf");
     fleet.runFor(12s);
     fleet.generateLoad(kLoad, fleet.queue().now() + kLoadTime, 0.3);
@@ -150,9 +150,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(it_goes_on_ending_them_where_nobody_is_suspected) {
-    Weakening weakening;
-    weakening.suspects_nobody = true;
-    const auto found = breachesUnder(kFaults.at("none"), 1, weakening);
+    DisabledMechanisms disabled;
+    disabled.crash_quarantine = true;
+    const auto found = breachesUnder(kFaults.at("none"), 1, disabled);
     BOOST_TEST(std::any_of(found.begin(), found.end(), [](const auto& it) { return it.promise == kKeptAway; }));
 }
 
@@ -214,10 +214,10 @@
 }
 
 /// @return the share of the requests beside two that end instances, of a service of so many, that is served.
-double shareOfOthers(std::uint64_t seed, std::size_t instances, Duration apart, const Weakening& weakening) {
+double shareOfOthers(std::uint64_t seed, std::size_t instances, Duration apart, const DisabledMechanisms& disabled) {
     auto leaf = services({kRead, kSign});
     leaf[0].machines = instances;
-    sim::SidecarFleet fleet(seed, leaf, weakening);
+    sim::SidecarFleet fleet(seed, leaf, disabled);
     fleet.putTable("leaf", "leaf", "leaf");
     fleet.runFor(12s);
     fleet.generateLoad(kLoad, fleet.queue().now() + kLoadTime, 0.3);
@@ -253,9 +253,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(they_are_not_where_suspects_run_however_few_are_left) {
-    Weakening weakening;
-    weakening.tries_suspects_at_once = true;
-    BOOST_TEST(shareOfOthers(1, 3, 160ms, weakening) < 0.97);
+    DisabledMechanisms disabled;
+    disabled.suspect_trial_gate = true;
+    BOOST_TEST(shareOfOthers(1, 3, 160ms, disabled) < 0.97);
 }
 
 /// Ends one instance after the other, whatever runs there; each starts again a second later.
--- a/tests/simulation/sidecar_test.cc
+++ b/tests/simulation/sidecar_test.cc
@@ -250,25 +250,25 @@
 /// A mechanism that is switched off, and the promise that must be seen broken under a fault.
 struct Weakened {
     const char* fault;
-    bool Weakening::*mechanism;
+    bool DisabledMechanisms::*mechanism;
     const char* promise;
 };
 
 const Weakened kWeakened[] = {
-    {"answers spoiled", &Weakening::repeats_unrepeatable, "runs at most once"},
-    {"answers lost", &Weakening::promises_without_proof, "not-run is not run"},
-    {"answers spoiled", &Weakening::repeats_without_budget, "repeats stay within their bound"},
-    {"instances drain", &Weakening::serves_draining, "a draining instance gets nothing"},
-    {"instances slow", &Weakening::ignores_gone_callers, "work ends with its caller"},
-    {"answers spoiled", &Weakening::takes_unsigned_answers, "own whole answer"},
-    {"nodes stopped in turn while instances are slow", &Weakening::stops_without_waiting, "every request is answered"},
+    {"answers spoiled", &DisabledMechanisms::idempotency_check, "runs at most once"},
+    {"answers lost", &DisabledMechanisms::not_executed_check, "not-run is not run"},
+    {"answers spoiled", &DisabledMechanisms::retry_budget_check, "repeats stay within their bound"},
+    {"instances drain", &DisabledMechanisms::drain_check, "a draining instance gets nothing"},
+    {"instances slow", &DisabledMechanisms::caller_cancellation, "work ends with its caller"},
+    {"answers spoiled", &DisabledMechanisms::response_signature_check, "own whole answer"},
+    {"nodes stopped in turn while instances are slow", &DisabledMechanisms::shutdown_wait, "every request is answered"},
 };
 
 /// How often each promise was broken in one run, with an example.
 using Breaches = std::map<std::string, std::pair<int, std::string>>;
 
-Breaches breachesUnder(const std::string& fault, std::uint64_t seed, const Weakening& weakening) {
-    sim::SidecarFleet fleet(seed, services(), weakening);
+Breaches breachesUnder(const std::string& fault, std::uint64_t seed, const DisabledMechanisms& disabled) {
+    sim::SidecarFleet fleet(seed, services(), disabled);
     fleet.putTable("browse", "desk", "leaf");
     fleet.runFor(4s);
     fleet.generateLoad(kLoad, fleet.queue().now() + 16s, 0.3, kLeaveShare);
@@ -303,11 +303,11 @@
 
 BOOST_AUTO_TEST_CASE(each_promise_breaks_without_its_mechanism) {
     for (const auto& row : kWeakened) {
-        Weakening weakening;
-        weakening.*row.mechanism = true;
+        DisabledMechanisms disabled;
+        disabled.*row.mechanism = true;
         bool is_broken = false;
         for (std::uint64_t seed = 1; seed <= kWeakenedSeeds && !is_broken; ++seed) {
-            is_broken = breachesUnder(row.fault, seed, weakening).contains(row.promise);
+            is_broken = breachesUnder(row.fault, seed, disabled).contains(row.promise);
         }
         BOOST_TEST(is_broken, row.promise);
     }
@@ -329,9 +329,9 @@
 BOOST_AUTO_TEST_CASE(calls_do_not_go_to_an_address_that_another_node_has_taken) {
     for (const bool is_weakened : {false, true}) {
         for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-            Weakening weakening;
-            weakening.trusts_any_answer = is_weakened;
-            sim::SidecarFleet fleet(seed, services(), weakening);
+            DisabledMechanisms disabled;
+            disabled.peer_name_check = is_weakened;
+            sim::SidecarFleet fleet(seed, services(), disabled);
             fleet.putTable("browse", "desk", "leaf");
             fleet.runFor(4s);
             fleet.generateLoad(kLoad, fleet.queue().now() + 16s);
--- a/tests/simulation/store_returns_test.cc
+++ b/tests/simulation/store_returns_test.cc
@@ -36,8 +36,8 @@
 
 /// Nodes that do not hold the newest table after a return, and a change after it that gets a revision which was given
 /// out before. @param times that the store returns, one soon after the other.
-std::size_t nodesThatMiss(std::uint64_t seed, Duration age, int times, const Weakening& weakening) {
-    sim::SidecarFleet fleet(seed, idleNodes(12), weakening);
+std::size_t nodesThatMiss(std::uint64_t seed, Duration age, int times, const DisabledMechanisms& disabled) {
+    sim::SidecarFleet fleet(seed, idleNodes(12), disabled);
     fleet.runFor(1s);
     change(fleet);
     fleet.runFor(8s);
@@ -56,13 +56,13 @@
 
 /// Looks at which two nodes could hand out tokens of the same shard: an owner that was cut off, and whom the store
 /// names again, beside the one that has taken its place.
-std::size_t looksWithTwoOwners(std::uint64_t seed, Duration age, const Weakening& weakening) {
+std::size_t looksWithTwoOwners(std::uint64_t seed, Duration age, const DisabledMechanisms& disabled) {
     wire::Tenant tenant;
     tenant.set_name("house");
     tenant.set_rate_per_s(80);
     tenant.set_burst(80);
     tenant.add_keys("key-of-house");
-    sim::SidecarFleet fleet(seed, idleNodes(12), weakening, {tenant});
+    sim::SidecarFleet fleet(seed, idleNodes(12), disabled, {tenant});
     const auto cut = [&fleet](bool is_cut) {
         for (const char* other : {"zone1", "zone2"}) {
             fleet.network().setCut("zone0", other, is_cut);
@@ -99,14 +99,14 @@
 
 BOOST_AUTO_TEST_CASE(no_change_is_missed_though_revisions_are_given_out_again) {
     std::size_t missed_without_era = 0;
-    Weakening weakening;
-    weakening.ignores_store_era = true;
+    DisabledMechanisms disabled;
+    disabled.store_era_check = true;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         for (const auto age : kAges) {
             for (const int times : {1, 2}) {
                 const auto missed = nodesThatMiss(seed, age, times, {});
                 BOOST_TEST(missed == 0U, "seed " << seed << ", age " << toMilliseconds(age) << " ms, times " << times);
-                missed_without_era += nodesThatMiss(seed, age, times, weakening);
+                missed_without_era += nodesThatMiss(seed, age, times, disabled);
             }
         }
     }
@@ -142,9 +142,9 @@
     std::size_t lonely_without_era = 0;
     for (const bool is_weak : {false, true}) {
         for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-            Weakening weakening;
-            weakening.ignores_store_era = is_weak;
-            sim::SidecarFleet fleet(seed, idleNodes(12), weakening, {}, 0);
+            DisabledMechanisms disabled;
+            disabled.store_era_check = is_weak;
+            sim::SidecarFleet fleet(seed, idleNodes(12), disabled, {}, 0);
             fleet.runFor(1s);
             change(fleet);
             fleet.runFor(9s);
@@ -170,12 +170,12 @@
 
 BOOST_AUTO_TEST_CASE(shards_of_quotas_have_one_owner_at_a_time_over_a_return) {
     std::size_t without_era = 0;
-    Weakening weakening;
-    weakening.ignores_store_era = true;
+    DisabledMechanisms disabled;
+    disabled.store_era_check = true;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         for (const Duration age : {2000ms, 8000ms, 11500ms}) {
             BOOST_TEST(looksWithTwoOwners(seed, age, {}) == 0U, "seed " << seed << ", age " << toMilliseconds(age));
-            without_era += looksWithTwoOwners(seed, age, weakening);
+            without_era += looksWithTwoOwners(seed, age, disabled);
         }
     }
     BOOST_TEST(without_era > 0U);
--- a/tests/simulation/tenants_test.cc
+++ b/tests/simulation/tenants_test.cc
@@ -224,15 +224,15 @@
 /// A mechanism that is switched off, and the promise that must be seen broken under a fault.
 struct Weakened {
     const char* fault;
-    bool Weakening::*mechanism;
+    bool DisabledMechanisms::*mechanism;
     const char* promise;
 };
 
 const Weakened kWeakened[] = {
-    {"a zone cut off from all", &Weakening::ignores_table_age, "revoked keys run nothing"},
-    {"none", &Weakening::hands_on_keys, "keys stay at the entry"},
-    {"none", &Weakening::hands_on_keys, "runs name their caller's tenant"},
-    {"none", &Weakening::grants_beyond_quota, "quotas hold"},
+    {"a zone cut off from all", &DisabledMechanisms::table_age_check, "revoked keys run nothing"},
+    {"none", &DisabledMechanisms::credential_removal, "keys stay at the entry"},
+    {"none", &DisabledMechanisms::credential_removal, "runs name their caller's tenant"},
+    {"none", &DisabledMechanisms::quota_limit, "quotas hold"},
 };
 
 }  // namespace
@@ -254,9 +254,9 @@
 
 BOOST_AUTO_TEST_CASE(each_promise_on_keys_and_quotas_breaks_without_its_mechanism) {
     for (const auto& row : kWeakened) {
-        Weakening weakening;
-        weakening.*row.mechanism = true;
-        sim::SidecarFleet fleet(1, services(12), weakening, tenants());
+        DisabledMechanisms disabled;
+        disabled.*row.mechanism = true;
+        sim::SidecarFleet fleet(1, services(12), disabled, tenants());
         runUnder(fleet, kFaults.at(row.fault));
         BOOST_TEST(breachesOf(fleet).contains(row.promise), row.promise);
     }
--- a/tests/soak/callers.cc
+++ b/tests/soak/callers.cc
@@ -72,7 +72,7 @@
     message.headers.set("Host", kHost);
     message.headers.set(names_.request_id, seen->id);
     message.headers.set(names_.deadline_ms, std::to_string(toMilliseconds(kDeadline)));
-    message.headers.set("Authorization", names_.key_scheme + " " + seen->key);
+    message.headers.set("Authorization", names_.auth_scheme + " " + seen->key);
     message.headers.set(names_.tenant, "forged");
     auto& open = open_[number];
     open.attempt = client_.send(
@@ -92,10 +92,10 @@
     const auto ended = open_.extract(number);
     request->ended = loop_.now();
     request->was_taken = result.outcome != AttemptOutcome::kNotSent;
-    request->status = result.outcome == AttemptOutcome::kAnswered ? result.answer.status : 0;
-    const auto& answer = result.answer;
-    request->is_whole = answer.headers.has(names_.server_stamp) && answer.body.starts_with(request->id + " ");
-    request->is_quarantined = request->status == kHttpServiceUnavailable && answer.body == kQuarantined;
+    request->status = result.outcome == AttemptOutcome::kResponded ? result.response.status : 0;
+    const auto& response = result.response;
+    request->is_whole = response.headers.has(names_.server_stamp) && response.body.starts_with(request->id + " ");
+    request->is_quarantined = request->status == kHttpServiceUnavailable && response.body == kQuarantined;
     if (request->status == kHttpServiceUnavailable && resends > 0) {
         send(request->route, request->path, resends - 1);
     }
--- a/tests/soak/fleet.cc
+++ b/tests/soak/fleet.cc
@@ -226,7 +226,7 @@
     request.path = kReadinessPath;
     node.readiness_probe = client_.send(
         node.readiness.text(), std::move(request), kReadinessTimeout, [&node](const AttemptResult& result) {
-            const bool is_ready = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk;
+            const bool is_ready = result.outcome == AttemptOutcome::kResponded && result.response.status == kHttpOk;
             node.readiness_misses = is_ready ? 0 : node.readiness_misses + 1;
         });
 }
--- a/tests/standins/instance.cc
+++ b/tests/standins/instance.cc
@@ -81,7 +81,7 @@
     if (!is_full && (expected.empty() || expected == id_)) {
         return false;
     }
-    HttpAnswer refusal;
+    HttpResponse refusal;
     refusal.status = is_full ? kHttpServiceUnavailable : kHttpMisdirected;
     refusal.headers.set(names_.not_executed, "1");
     refusal.headers.set(names_.instance_id, id_);
@@ -154,7 +154,7 @@
     call.headers.set(names_.request_id, callId(run.id, id_));
     call.headers.set(names_.deadline_ms, std::to_string(toMilliseconds(left - kInnerMargin)));
     run.inner = client_.send(node_callers_, std::move(call), left, [this, number](const AttemptResult& result) {
-        const bool is_served = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk;
+        const bool is_served = result.outcome == AttemptOutcome::kResponded && result.response.status == kHttpOk;
         if (is_served) {
             work(number);
         } else {
@@ -179,7 +179,7 @@
         exchange->abort();
         return;
     }
-    answer(exchange, is_error ? kHttpInternalServerError : status, id, random_.unit() >= faults_.unsigned_answers);
+    response(exchange, is_error ? kHttpInternalServerError : status, id, random_.unit() >= faults_.unsigned_answers);
 }
 
 /// The run has ended, or whoever asked for it has gone.
@@ -192,8 +192,8 @@
     }
 }
 
-void Instance::answer(const Exchange& exchange, int status, const std::string& id, bool is_signed) {
-    HttpAnswer message;
+void Instance::response(const Exchange& exchange, int status, const std::string& id, bool is_signed) {
+    HttpResponse message;
     message.status = status;
     message.headers.set(names_.request_id, id);
     if (is_signed) {
@@ -230,7 +230,7 @@
     request.body = body;
     post_ = client_.send(node_heartbeats_, std::move(request), kPostTimeout,
                          [done = std::move(done)](const AttemptResult& result) {
-                             done(result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk);
+                             done(result.outcome == AttemptOutcome::kResponded && result.response.status == kHttpOk);
                          });
 }
 
--- a/tests/standins/object_store.cc
+++ b/tests/standins/object_store.cc
@@ -166,7 +166,7 @@
 }
 
 void ObjectStore::answer(const Exchange& exchange, int status, const Json& body) {
-    HttpAnswer message;
+    HttpResponse message;
     message.status = status;
     message.headers.set("Content-Type", "application/json");
     message.headers.set("Store-Era", std::to_string(era_));
--- a/tests/unit/adapters/bounded_log_test.cc
+++ b/tests/unit/adapters/bounded_log_test.cc
@@ -32,14 +32,14 @@
     adapters::BoundedLog log(time.clock, inner, {"routine"}, {2, 5});
     time.advance(10s);
     for (int count = 0; count < 10; ++count) {
-        if (log.takes("routine")) {
+        if (log.accepts("routine")) {
             log.write(Event("routine"));
         }
     }
-    BOOST_TEST(log.takes("failure"));
+    BOOST_TEST(log.accepts("failure"));
     BOOST_TEST(inner.lines.size() == 2U);
     time.advance(1s);
-    BOOST_TEST(log.takes("routine"));
+    BOOST_TEST(log.accepts("routine"));
     BOOST_TEST(inner.lines.at(2) == "event=events_left_out count=8");
 }
 
--- a/tests/unit/base/field_list_test.cc
+++ b/tests/unit/base/field_list_test.cc
@@ -6,6 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(unit_base_field_list)
 
+/// Guards against values that break the header or change in an encoding round trip.
 BOOST_AUTO_TEST_CASE(texts_of_any_bytes_and_numbers_come_back_as_they_were) {
     const std::string texts[] = {"plain", "", "with blank", "100%", "line\r\nheader: x", std::string("\0\xff", 2), "%"};
     FieldWriter writer;
@@ -25,6 +26,7 @@
     BOOST_TEST(reader.number() == INT64_MAX);
 }
 
+/// Guards against failures on lists of other versions and on malformed fields.
 BOOST_AUTO_TEST_CASE(what_is_missing_or_is_no_number_reads_as_nothing) {
     FieldReader reader("a x %4");
     BOOST_TEST(reader.text() == "a");
--- a/tests/unit/base/http_message_test.cc
+++ b/tests/unit/base/http_message_test.cc
@@ -8,6 +8,7 @@
 
 BOOST_AUTO_TEST_SUITE(base_http_message)
 
+/// Guards against forwarding connection-specific headers.
 BOOST_AUTO_TEST_CASE(hop_by_hop_headers_go_and_those_that_connection_names) {
     Headers headers;
     for (const char* name : {"Keep-Alive", "TE", "Upgrade", "X-Private", "X-Kept", "Proxy-Authorization"}) {
@@ -19,6 +20,7 @@
     BOOST_TEST(headers.get("x-kept") == "1");
 }
 
+/// Guards against log injection by values with line breaks or quotes.
 BOOST_AUTO_TEST_CASE(log_lines_are_key_value_pairs_and_cannot_be_broken) {
     const auto line = Event("x").with("peer", "a b").with("n", 3).with("text", "1\nevent=\"y\"").line();
     BOOST_TEST(line == "event=x peer=\"a b\" n=3 text=\"1 event=\\\"y\\\"\"");
--- a/tests/unit/fleet/failure_detector_test.cc
+++ b/tests/unit/fleet/failure_detector_test.cc
@@ -14,17 +14,17 @@
 constexpr Duration kRoundTrip = 1ms;
 
 /// Answers gossip, or says nothing until the time-out.
-class ScriptedNodes : public BackEndPort {
+class ScriptedNodes : public HttpTransport {
 public:
     explicit ScriptedNodes(Clock& clock) : clock_(clock) {}
     AttemptHandle send(const std::string&, HttpRequest, Duration timeout, Callback callback) override {
         ++sent;
         AttemptResult result;
-        result.outcome = answers ? AttemptOutcome::kAnswered : AttemptOutcome::kUnknown;
-        result.answer.status = 200;
-        wire::Gossip answer;
-        answer.set_sender("a");  // An answer counts as the node's that it names.
-        result.answer.body = answer.SerializeAsString();
+        result.outcome = answers ? AttemptOutcome::kResponded : AttemptOutcome::kUnknown;
+        result.response.status = 200;
+        wire::Gossip response;
+        response.set_sender("a");  // An answer counts as the node's that it names.
+        result.response.body = response.SerializeAsString();
         auto attempt = std::make_unique<Running>();
         attempt->timer = clock_.startTimer(answers ? kRoundTrip : timeout,
                                            [result, callback = std::move(callback)] { callback(result); });
@@ -73,7 +73,7 @@
 
 BOOST_AUTO_TEST_CASE(a_node_that_answers_is_not_probed) {
     detector.onCallSent("a");
-    for (int answer = 0; answer < 10; ++answer) {
+    for (int response = 0; response < 10; ++response) {
         time.advance(200ms);
         directory.onReached("a");
     }
--- a/tests/unit/fleet/gossip_test.cc
+++ b/tests/unit/fleet/gossip_test.cc
@@ -14,7 +14,7 @@
 namespace {
 
 /// Carries messages between the nodes of a test, and counts their bytes.
-class Wires : public BackEndPort {
+class Wires : public HttpTransport {
 public:
     explicit Wires(Clock& clock) : clock_(clock) {}
     AttemptHandle send(const std::string& address, HttpRequest request, Duration, Callback callback) override {
@@ -23,12 +23,12 @@
         auto attempt = std::make_unique<Running>();
         attempt->timer = clock_.startTimer(1ms, [this, address, request, callback = std::move(callback)] {
             AttemptResult result;
-            result.outcome = AttemptOutcome::kAnswered;
-            result.answer = nodes.at(address)->handle(request);
-            bytes += result.answer.body.size();
-            wire::Gossip answer;
-            answer.ParseFromString(result.answer.body);
-            tables += answer.has_table() ? 1 : 0;
+            result.outcome = AttemptOutcome::kResponded;
+            result.response = nodes.at(address)->handle(request);
+            bytes += result.response.body.size();
+            wire::Gossip response;
+            response.ParseFromString(result.response.body);
+            tables += response.has_table() ? 1 : 0;
             callback(result);
         });
         return attempt;
--- a/tests/unit/platform/documents_fuzz_test.cc
+++ b/tests/unit/platform/documents_fuzz_test.cc
@@ -31,7 +31,7 @@
     int heartbeats = 0;
 };
 
-class NoNodes : public BackEndPort {
+class NoNodes : public HttpTransport {
 public:
     AttemptHandle send(const std::string&, HttpRequest, Duration, Callback) override {
         return std::make_unique<Attempt>();
