--- a/tests/unit/platform/platform_test.cc
+++ b/tests/unit/platform/platform_test.cc
@@ -21,7 +21,7 @@
   "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":1000,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}})";
 
 /// Answers each call from a list, and keeps what was asked.
-class ScriptedHttp : public BackEndPort {
+class ScriptedHttp : public HttpTransport {
 public:
     struct Asked {
         std::string line;
@@ -32,13 +32,13 @@
         callbacks.push_back(std::move(callback));
         return std::make_unique<Attempt>();
     }
-    void answer(int status, const std::string& body) {
-        HttpAnswer answer;
-        answer.status = status;
-        answer.body = body;
+    void response(int status, const std::string& body) {
+        HttpResponse response;
+        response.status = status;
+        response.body = body;
         const auto callback = std::move(callbacks.front());
         callbacks.erase(callbacks.begin());
-        callback({AttemptOutcome::kAnswered, answer, ""});
+        callback({AttemptOutcome::kResponded, response, ""});
     }
     void lose() {
         const auto callback = std::move(callbacks.front());
@@ -117,7 +117,7 @@
 BOOST_FIXTURE_TEST_CASE(leases_are_written_under_their_revision, StoreFixture) {
     std::optional<std::vector<LeaseRecord>> leases;
     store.readLeases([&](std::optional<std::vector<LeaseRecord>> read) { leases = std::move(read); });
-    http.answer(200, R"({"items":[{"Metadata":{"Name":"shard-1","Revision":7},"Spec":{"Holder":"n1","Incarnation":3}}],
+    http.response(200, R"({"items":[{"Metadata":{"Name":"shard-1","Revision":7},"Spec":{"Holder":"n1","Incarnation":3}}],
                          "More":false,"At":9})");
     BOOST_TEST(leases->at(0).name == "shard-1");
     BOOST_TEST(leases->at(0).holder == "n1");
@@ -126,17 +126,17 @@
     int done = 0;
     store.putLease(leases->at(0), [&](bool is_done) { done += is_done ? 1 : 0; });
     BOOST_TEST(http.asked.back().line.starts_with("PUT "));
-    http.answer(409, "{}");
+    http.response(409, "{}");
     store.putLease({"shard-2", "n1", 3, 0}, [&](bool is_done) { done += is_done ? 1 : 0; });
     BOOST_TEST(http.asked.back().line.starts_with("POST "));
-    http.answer(200, "{}");
+    http.response(200, "{}");
     BOOST_TEST(done == 1);
     store.readLeases([&](std::optional<std::vector<LeaseRecord>> read) { leases = std::move(read); });
-    http.answer(200, R"({"items":[{"Metadata":{}}]})");  // Of another writer: it says nothing of the others.
+    http.response(200, R"({"items":[{"Metadata":{}}]})");  // Of another writer: it says nothing of the others.
     BOOST_REQUIRE(leases.has_value());
     BOOST_TEST(leases->empty());
     store.readLeases([&](std::optional<std::vector<LeaseRecord>> read) { leases = std::move(read); });
-    http.answer(200, R"({"things":[]})");
+    http.response(200, R"({"things":[]})");
     BOOST_TEST(!leases.has_value());
 }
 
@@ -144,17 +144,17 @@
     std::optional<TableRead> read;
     const auto keep = [&](std::optional<TableRead> result) { read = std::move(result); };
     store.readTable(keep);
-    http.answer(200, R"({"items":[{"Metadata":{"Name":"main","Revision":4},"Spec":)" + std::string(kDocument) +
+    http.response(200, R"({"items":[{"Metadata":{"Name":"main","Revision":4},"Spec":)" + std::string(kDocument) +
                          R"(}],"More":false,"At":12})");
     BOOST_TEST(read->revision == 12U);
     BOOST_TEST(read->table->version() == 0x1fU);
     store.watchTable(12, 25s, keep);
     BOOST_TEST(http.asked.back().line.find("?Watch=12&WaitMs=25000") != std::string::npos);
-    http.answer(200, R"({"events":[],"At":15})");
+    http.response(200, R"({"events":[],"At":15})");
     BOOST_TEST(read->revision == 15U);
     BOOST_TEST(!read->table.has_value());
     store.watchTable(15, 25s, keep);
-    http.answer(410, "");
+    http.response(410, "");
     BOOST_TEST(read->revision == 0U);
 }
 
@@ -166,12 +166,12 @@
             is_called = true;
             BOOST_TEST(!read.has_value(), body);
         });
-        http.answer(200, body);
+        http.response(200, body);
         BOOST_TEST(is_called);
     }
     for (const int status : {429, 503, 404}) {
         store.readTable([&](const std::optional<TableRead>& read) { BOOST_TEST(!read.has_value()); });
-        http.answer(status, "{}");
+        http.response(status, "{}");
     }
     store.listNodes(Freshness::kNewest,
                     [](const std::optional<std::vector<NodeAddress>>& nodes) { BOOST_TEST(!nodes.has_value()); });
@@ -183,16 +183,16 @@
     int done = 0;
     const auto count = [&](bool is_done) { done += is_done ? 1 : 0; };
     store.announce(node, count);
-    http.answer(200, "{}");
+    http.response(200, "{}");
     store.announce(node, count);
-    http.answer(409, R"({"Metadata":{"Name":"n1","Revision":3},"Spec":{"Zone":"z","Address":"10.0.0.2:5"}})");
+    http.response(409, R"({"Metadata":{"Name":"n1","Revision":3},"Spec":{"Zone":"z","Address":"10.0.0.2:5"}})");
     BOOST_TEST(done == 2);
     BOOST_TEST(http.callbacks.empty());  // The same is there already.
     store.announce(node, count);
-    http.answer(409, R"({"Metadata":{"Name":"n1","Revision":3},"Spec":{"Zone":"z","Address":"10.0.0.9:5"}})");
+    http.response(409, R"({"Metadata":{"Name":"n1","Revision":3},"Spec":{"Zone":"z","Address":"10.0.0.9:5"}})");
     BOOST_TEST(http.asked.back().line.starts_with("PUT "));
     BOOST_TEST(http.asked.back().body.find("\"Revision\":3") != std::string::npos);
-    http.answer(200, "{}");
+    http.response(200, "{}");
     BOOST_TEST(done == 3);
 }
 
@@ -200,9 +200,9 @@
     std::size_t count = 0;
     store.listNodes(Freshness::kNewest,
                     [&](const std::optional<std::vector<NodeAddress>>& nodes) { count = nodes->size(); });
-    http.answer(200, R"({"items":[{"Metadata":{"Name":"a"},"Spec":{"Address":"1.1.1.1:1"}}],"More":true,"At":1})");
+    http.response(200, R"({"items":[{"Metadata":{"Name":"a"},"Spec":{"Address":"1.1.1.1:1"}}],"More":true,"At":1})");
     BOOST_TEST(http.asked.back().line.ends_with("?after=a"));
-    http.answer(200, R"({"items":[{"Metadata":{"Name":"b"},"Spec":{"Address":"1.1.1.2:1"}}],"More":false,"At":1})");
+    http.response(200, R"({"items":[{"Metadata":{"Name":"b"},"Spec":{"Address":"1.1.1.2:1"}}],"More":false,"At":1})");
     BOOST_TEST(count == 2U);
 }
 
@@ -252,11 +252,11 @@
     BOOST_TEST(tell(good).status == 200);
     BOOST_TEST(listener.heartbeats.at(0).born_ms == 1'700'000'000'123U);
     const auto refused = [&](const std::string& field, const Json& body) {
-        const auto answer = tell(body);
+        const auto response = tell(body);
         const auto name = field.substr(field.rfind('/') + 1);
-        BOOST_TEST_CONTEXT(body.dump() << " -> " << answer.body) {
-            BOOST_TEST(answer.status == 400);
-            BOOST_TEST(answer.body.find(name) != std::string::npos);
+        BOOST_TEST_CONTEXT(body.dump() << " -> " << response.body) {
+            BOOST_TEST(response.status == 400);
+            BOOST_TEST(response.body.find(name) != std::string::npos);
         }
     };
     for (const auto& [field, values] : fields) {
@@ -295,7 +295,7 @@
 BOOST_FIXTURE_TEST_CASE(one_bad_entry_of_a_list_leaves_the_others, StoreFixture) {
     std::optional<std::vector<NodeAddress>> nodes;
     store.listNodes(Freshness::kNewest, [&](const std::optional<std::vector<NodeAddress>>& read) { nodes = read; });
-    http.answer(200, R"({"items":[3,{},{"Metadata":{"Name":7},"Spec":{"Address":"1.1.1.1:1"}},)"
+    http.response(200, R"({"items":[3,{},{"Metadata":{"Name":7},"Spec":{"Address":"1.1.1.1:1"}},)"
                      R"({"Metadata":{"Name":"a"},"Spec":{"Zone":"z","Address":"1.1.1.1:1"}},)"
                      R"({"Metadata":{"Name":"b"},"Spec":{"Zone":4,"Address":"1.1.1.2:1"}},)"
                      R"({"Metadata":{"Name":"c"},"Spec":{"Zone":"z","Address":"nowhere"}},)"
@@ -305,14 +305,14 @@
     BOOST_TEST(nodes->front().name == "a");
     std::optional<TableRead> table;
     store.readTable([&](std::optional<TableRead> read) { table = std::move(read); });
-    http.answer(200, R"({"items":[3,{"Metadata":{"Name":"other"},"Spec":1},{"Metadata":{"Name":"main","Revision":4},)"
+    http.response(200, R"({"items":[3,{"Metadata":{"Name":"other"},"Spec":1},{"Metadata":{"Name":"main","Revision":4},)"
                      R"("Spec":)" +
                          std::string(kDocument) + R"(}],"More":false,"At":12})");
     BOOST_REQUIRE(table.has_value());
     BOOST_TEST(table->table->version() == 0x1fU);
     std::optional<std::vector<LeaseRecord>> leases;
     store.readLeases([&](std::optional<std::vector<LeaseRecord>> read) { leases = std::move(read); });
-    http.answer(200, R"({"items":[7,{"Metadata":{"Name":"shard-1","Revision":4},"Spec":{"Holder":3}},)"
+    http.response(200, R"({"items":[7,{"Metadata":{"Name":"shard-1","Revision":4},"Spec":{"Holder":3}},)"
                      R"({"Metadata":{"Name":"shard-2","Revision":9},"Spec":{"Holder":"n1","Incarnation":3}}]})");
     BOOST_REQUIRE(leases.has_value());
     BOOST_REQUIRE(leases->size() == 2U);
--- a/tests/unit/quarantine/exchange_test.cc
+++ b/tests/unit/quarantine/exchange_test.cc
@@ -27,7 +27,7 @@
 }
 
 /// Delivers to the exchange at an address, unless that is cut off.
-class Wire : public BackEndPort {
+class Wire : public HttpTransport {
 public:
     explicit Wire(Clock& clock) : clock_(clock) {}
     AttemptHandle send(const std::string& address, HttpRequest request, Duration timeout, Callback callback) override {
@@ -36,9 +36,9 @@
         const bool is_lost = address == cut || !exchanges.contains(address);
         attempt->timer = clock_.startTimer(is_lost ? timeout : 1ms, [=, this, callback = std::move(callback)] {
             AttemptResult result;
-            result.outcome = is_lost ? AttemptOutcome::kUnknown : AttemptOutcome::kAnswered;
+            result.outcome = is_lost ? AttemptOutcome::kUnknown : AttemptOutcome::kResponded;
             if (!is_lost) {
-                result.answer = exchanges.at(address)->handle(request);
+                result.response = exchanges.at(address)->handle(request);
             }
             callback(result);
         });
--- a/tests/unit/relay/crash_watch_test.cc
+++ b/tests/unit/relay/crash_watch_test.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /// Ends each probe as it is told, after a millisecond.
-class ScriptedInstance : public BackEndPort {
+class ScriptedInstance : public HttpTransport {
 public:
     explicit ScriptedInstance(Clock& clock) : clock_(clock) {}
     AttemptHandle send(const std::string&, HttpRequest, Duration timeout, Callback callback) override {
@@ -71,8 +71,8 @@
         {"it has ended with its only run", 1, 1, {AttemptOutcome::kNotSent, {}, "connect-failed"}, true, 1},
         {"what holds its address closes", 3, 3, {AttemptOutcome::kUnknown, {}, "connection-closed"}, true, 3},
         {"one answer is lost", 20, 1, {AttemptOutcome::kNotSent, {}, "connect-failed"}, false, 0},
-        {"its only answer is lost", 1, 1, {AttemptOutcome::kAnswered, {}, ""}, false, 1},
-        {"half of its connections are reset", 20, 10, {AttemptOutcome::kAnswered, {}, ""}, false, 1},
+        {"its only answer is lost", 1, 1, {AttemptOutcome::kResponded, {}, ""}, false, 1},
+        {"half of its connections are reset", 20, 10, {AttemptOutcome::kResponded, {}, ""}, false, 1},
         {"it is frozen", 4, 4, {AttemptOutcome::kUnknown, {}, "timeout"}, false, 1},
         {"its connects hang", 4, 4, {AttemptOutcome::kNotSent, {}, "timeout"}, false, 1},
     };
--- a/tests/unit/relay/relay_crash_test.cc
+++ b/tests/unit/relay/relay_crash_test.cc
@@ -13,7 +13,7 @@
 namespace {
 
 /// Keeps what it is sent until it is told how that ends. Probes end as `probe` says, at once.
-class TestedInstance : public BackEndPort {
+class TestedInstance : public HttpTransport {
 public:
     explicit TestedInstance(Clock& clock) : clock_(clock) {}
     AttemptHandle send(const std::string&, HttpRequest request, Duration, Callback callback) override {
@@ -32,7 +32,7 @@
         for (auto& callback : std::exchange(callbacks, {})) {
             AttemptResult result;
             result.outcome = outcome;
-            result.answer.status = 500;
+            result.response.status = 500;
             result.reason = reason;
             callback(result);
         }
@@ -92,7 +92,7 @@
     }
     void answerAll() {
         reasons.clear();
-        instances.endAll(AttemptOutcome::kAnswered, "");
+        instances.endAll(AttemptOutcome::kResponded, "");
         time.advance(1ms);
     }
 
@@ -186,7 +186,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_lost_connection_of_an_instance_that_lives_blames_nobody) {
-    instances.probe = {AttemptOutcome::kAnswered, {}, ""};
+    instances.probe = {AttemptOutcome::kResponded, {}, ""};
     start("/a");
     breakAll();
     BOOST_TEST((reasons == std::vector{RelayReason::kNoWholeAnswer}));
--- a/tests/unit/relay/relay_parts_test.cc
+++ b/tests/unit/relay/relay_parts_test.cc
@@ -64,7 +64,7 @@
 }
 
 /// Takes every request and never answers.
-class SilentInstance : public BackEndPort {
+class SilentInstance : public HttpTransport {
 public:
     AttemptHandle send(const std::string&, HttpRequest, Duration, Callback) override {
         return std::make_unique<Attempt>();
@@ -129,15 +129,15 @@
 }
 
 /// Answers each request after a millisecond with a failure of its own.
-class FailingInstance : public BackEndPort {
+class FailingInstance : public HttpTransport {
 public:
     explicit FailingInstance(Clock& clock) : clock_(clock) {}
     AttemptHandle send(const std::string&, HttpRequest, Duration, Callback callback) override {
         auto attempt = std::make_unique<Running>();
         attempt->timer = clock_.startTimer(1ms, [callback = std::move(callback)] {
             AttemptResult result;
-            result.outcome = AttemptOutcome::kAnswered;
-            result.answer.status = 500;
+            result.outcome = AttemptOutcome::kResponded;
+            result.response.status = 500;
             callback(result);
         });
         return attempt;
@@ -195,13 +195,13 @@
     BOOST_REQUIRE(results.size() == 8U);
     for (std::size_t number = 0; number < results.size(); ++number) {
         BOOST_TEST(results[number].is_repeat_paid == (number == 5), "request " << number);
-        BOOST_TEST((results[number].outcome == relay::RelayOutcome::kAnswered), "request " << number);
+        BOOST_TEST((results[number].outcome == relay::RelayOutcome::kResponded), "request " << number);
     }
     BOOST_TEST(relay.repeatTotals().granted == 1U);
 }
 
 /// Answers when it is told to, and keeps the order in which requests were sent.
-class PacedInstance : public BackEndPort {
+class PacedInstance : public HttpTransport {
 public:
     AttemptHandle send(const std::string&, HttpRequest request, Duration, Callback callback) override {
         order.emplace_back(request.headers.get("id"));
@@ -210,8 +210,8 @@
     }
     void answerFirst() {
         AttemptResult result;
-        result.outcome = AttemptOutcome::kAnswered;
-        result.answer.status = 500;
+        result.outcome = AttemptOutcome::kResponded;
+        result.response.status = 500;
         auto callback = std::move(callbacks.front());
         callbacks.erase(callbacks.begin());
         callback(result);
@@ -355,14 +355,14 @@
     BOOST_TEST(!relay::fromHttp(read->request, TimePoint(9s)).has_value());
 
     for (const auto outcome :
-         {relay::RelayOutcome::kAnswered, relay::RelayOutcome::kNotRun, relay::RelayOutcome::kUnknown}) {
+         {relay::RelayOutcome::kResponded, relay::RelayOutcome::kNotRun, relay::RelayOutcome::kUnknown}) {
         relay::RelayResult result;
         result.failed_below = true;
         result.is_repeat_paid = true;
         result.outcome = outcome;
         result.reason = relay::RelayReason::kQueueTooLong;
         result.was_offered = true;
-        result.answer.status = 418;
+        result.response.status = 418;
         result.load = {4, 5, 6, 7ms};
         result.report.below = {"leaf", 0.25, 88ms};
         result.report.load = {30.5, 18, 17.25};
@@ -386,9 +386,9 @@
         BOOST_TEST(back.report.is_inner.value());
         BOOST_TEST(back.failed_below);
         BOOST_TEST(back.is_repeat_paid);
-        BOOST_TEST((back.answer.status == 418) == (outcome == relay::RelayOutcome::kAnswered));
+        BOOST_TEST((back.response.status == 418) == (outcome == relay::RelayOutcome::kResponded));
     }
-    HttpAnswer foreign;
+    HttpResponse foreign;
     foreign.status = 200;
     BOOST_TEST((relay::fromHttp(foreign).result.outcome == relay::RelayOutcome::kUnknown));
 }
--- a/tests/unit/relay/relay_repeats_test.cc
+++ b/tests/unit/relay/relay_repeats_test.cc
@@ -54,9 +54,9 @@
         relay::RelayRequest request;
         request.failure_plan = relay::FailurePlan::kRepeat;
         relay::RelayResult failure;
-        failure.outcome = relay::RelayOutcome::kAnswered;
+        failure.outcome = relay::RelayOutcome::kResponded;
         failure.was_offered = true;
-        failure.answer.status = kHttpInternalServerError;
+        failure.response.status = kHttpInternalServerError;
         for (auto& relay : relays) {
             while (relay->paysRepeat(request, failure)) {
                 repeats += 1;
