--- a/tests/standins/instance.h
+++ b/tests/standins/instance.h
@@ -102,7 +102,7 @@
     void crashLater(std::uint64_t number);
     void end(std::uint64_t number, int status);
     void forget(std::uint64_t number);
-    void answer(const Exchange& exchange, int status, const std::string& id, bool is_signed);
+    void response(const Exchange& exchange, int status, const std::string& id, bool is_signed);
     void beat();
     void post(const std::string& path, const std::string& body, std::function<void(bool)> done);
     void leave();
