--- a/src/entry/call_intake.cc
+++ b/src/entry/call_intake.cc
@@ -37,7 +37,7 @@
         return;
     }
     auto access = checkAccess(services_.clock.now(), services_.table, services_.lease, *route,
-                              keyIn(request.headers, services_.names.key_scheme), services_.access);
+                              keyIn(request.headers, services_.names.auth_scheme), services_.access);
     if (access.refusal) {
         callback(std::move(request), TurnedAway{*access.refusal, route});
         return;
--- a/src/fleet/gossip.cc
+++ b/src/fleet/gossip.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-Gossip::Gossip(Clock& clock, RandomSource& random, EventLog& log, BackEndPort& nodes, NodeDirectory& directory,
+Gossip::Gossip(Clock& clock, RandomSource& random, EventLog& log, HttpTransport& nodes, NodeDirectory& directory,
                policy::RouteTable& table, policy::TableLease& lease, GossipKnobs knobs)
     : clock_(clock),
       random_(random),
@@ -260,10 +260,10 @@
 /// address can be reassigned.
 void Gossip::onResponse(const std::string& name, TimePoint sent, const AttemptResult& result, const OnResponse& done) {
     wire::Gossip response;
-    const bool has_response = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
-                              response.ParseFromString(result.answer.body);
+    const bool has_response = result.outcome == AttemptOutcome::kResponded && result.response.status == kHttpOk &&
+                              response.ParseFromString(result.response.body);
     const bool is_expected_sender =
-        has_response && (response.sender() == name || name.empty() || knobs_.weakening.trusts_any_answer);
+        has_response && (response.sender() == name || name.empty() || knobs_.disabled.peer_name_check);
     if (is_expected_sender && !name.empty()) {
         directory_.onReached(name);
     }
@@ -325,7 +325,7 @@
 }
 
 void Gossip::onStoreEra(std::uint64_t era) {
-    if (era <= store_era_ || knobs_.weakening.ignores_store_era) {
+    if (era <= store_era_ || knobs_.disabled.store_era_check) {
         return;
     }
     const auto previous = std::exchange(store_era_, era);
@@ -342,8 +342,8 @@
     }
 }
 
-HttpAnswer Gossip::handle(const HttpRequest& request) {
-    HttpAnswer response;
+HttpResponse Gossip::handle(const HttpRequest& request) {
+    HttpResponse response;
     wire::Gossip received;
     if (!received.ParseFromString(request.body)) {
         log_.write(Event("gossip_refused").with("step", "parse").with("bytes", request.body.size()));
--- a/src/fleet/gossip.h
+++ b/src/fleet/gossip.h
@@ -10,15 +10,15 @@
 #include <string>
 #include <vector>
 
+#include "src/base/disabled_mechanisms.h"
 #include "src/base/http_message.h"
-#include "src/base/weakening.h"
 #include "src/fleet/node_directory.h"
 #include "src/fleet/rumor_queue.h"
 #include "src/policy/route_table.h"
 #include "src/policy/table_lease.h"
-#include "src/ports/back_end_port.h"
 #include "src/ports/clock.h"
 #include "src/ports/event_log.h"
+#include "src/ports/http_transport.h"
 #include "src/ports/random_source.h"
 
 namespace dewcrank::fleet {
@@ -37,7 +37,7 @@
     std::size_t max_records = 64;        ///< Records in a rumor message.
     std::size_t initial_exchanges = 4;   ///< Random nodes that a starting node exchanges directories with.
     std::size_t max_table_requests = 3;  ///< Concurrent requests for the table, which is large; a node may be down.
-    Weakening weakening;                 ///< Tests only.
+    DisabledMechanisms disabled;         ///< Tests only.
 };
 
 /// Gossip protocol of one node: sends and receives `wire::Gossip`, and merges it into the directory, table and lease.
@@ -49,13 +49,13 @@
 ///   gossip_refused   a received message could not be parsed
 class Gossip {
 public:
-    Gossip(Clock& clock, RandomSource& random, EventLog& log, BackEndPort& nodes, NodeDirectory& directory,
+    Gossip(Clock& clock, RandomSource& random, EventLog& log, HttpTransport& nodes, NodeDirectory& directory,
            policy::RouteTable& table, policy::TableLease& lease, GossipKnobs knobs);
 
     /// Starts the periodic anti-entropy exchange.
     void start();
     /// Merges another node's message. @return the response: 200 with a `wire::Gossip` body, or 400 if unparsable.
-    HttpAnswer handle(const HttpRequest& request);
+    HttpResponse handle(const HttpRequest& request);
     /// Spreads this node's own record, and exchanges directories with `initial_exchanges` random nodes.
     void announceSelf();
     /// Sends an empty message to random nodes, whose responses report the age of their tables.
@@ -105,7 +105,7 @@
     Clock& clock_;
     RandomSource& random_;
     EventLog& log_;
-    BackEndPort& nodes_;
+    HttpTransport& nodes_;
     NodeDirectory& directory_;
     policy::RouteTable& table_;
     policy::TableLease& lease_;
--- a/src/policy/table_lease.h
+++ b/src/policy/table_lease.h
@@ -6,16 +6,16 @@
 #include <cstdint>
 #include <optional>
 
+#include "src/base/disabled_mechanisms.h"
 #include "src/base/time.h"
-#include "src/base/weakening.h"
 
 namespace dewcrank::policy {
 
 /// Constants of the lease.
 struct TableLeaseKnobs {
-    Duration revocation{};       ///< Longest time that a revoked key is still accepted; zero: no lease is required.
-    double margin_share = 0.04;  ///< Of `revocation`, for clock drift and for the time from check to instance.
-    Weakening weakening;         ///< Tests only.
+    Duration revocation{};        ///< Longest time that a revoked key is still accepted; zero: no lease is required.
+    double margin_share = 0.04;   ///< Of `revocation`, for clock drift and for the time from check to instance.
+    DisabledMechanisms disabled;  ///< Tests only.
 };
 
 /// Invariant: the local table contains every version that the store had acknowledged by `confirmed_`.
--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-QuotaClient::QuotaClient(Clock& clock, RandomSource& random, EventLog& log, BackEndPort& nodes,
+QuotaClient::QuotaClient(Clock& clock, RandomSource& random, EventLog& log, HttpTransport& nodes,
                          const fleet::NodeDirectory& directory, const policy::RouteTable& table,
                          ShardLeaseManager& lease_manager, QuotaClientKnobs knobs)
     : clock_(clock),
@@ -206,8 +206,9 @@
         owner.address(), std::move(request), knobs_.request_timeout, [this, shard_index](const AttemptResult& result) {
             const auto ended = std::exchange(shards_[shard_index].attempt, nullptr);
             wire::QuotaGrant response;
-            const bool has_response = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
-                                      response.ParseFromString(result.answer.body);
+            const bool has_response = result.outcome == AttemptOutcome::kResponded &&
+                                      result.response.status == kHttpOk &&
+                                      response.ParseFromString(result.response.body);
             onResponse(shard_index, has_response ? &response : nullptr);
         });
 }
@@ -291,8 +292,8 @@
         [this, shard_index](const AttemptResult& result) {
             const auto ended = takeovers_.extract(shard_index);
             wire::QuotaGrant response;
-            if (result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
-                response.ParseFromString(result.answer.body)) {
+            if (result.outcome == AttemptOutcome::kResponded && result.response.status == kHttpOk &&
+                response.ParseFromString(result.response.body)) {
                 lease_manager_.onPreviousOwnerStopped(shard_index, response.sender(), response.incarnation());
             }
         });
@@ -316,7 +317,7 @@
     for (const auto& line : quota_request.lines()) {
         const auto* tenant = table_.tenantNamed(line.tenant());
         auto* granted = response.add_lines();
-        if (knobs_.weakening.grants_beyond_quota) {
+        if (knobs_.disabled.quota_limit) {
             granted->set_tenant(line.tenant());
             granted->set_granted(line.wanted());
         } else if (tenant == nullptr) {
@@ -329,8 +330,8 @@
     return response;
 }
 
-HttpAnswer QuotaClient::handle(const HttpRequest& request) {
-    HttpAnswer response;
+HttpResponse QuotaClient::handle(const HttpRequest& request) {
+    HttpResponse response;
     wire::QuotaAsk quota_request;
     if (!quota_request.ParseFromString(request.body) || quota_request.shard() >= kShardCount) {
         log_.write(Event("quota_question_refused").with("step", "parse").with("bytes", request.body.size()));
--- a/src/quota/quota_client.h
+++ b/src/quota/quota_client.h
@@ -9,13 +9,13 @@
 #include <string>
 #include <vector>
 
+#include "src/base/disabled_mechanisms.h"
 #include "src/base/http_message.h"
-#include "src/base/weakening.h"
 #include "src/fleet/node_directory.h"
 #include "src/policy/route_table.h"
-#include "src/ports/back_end_port.h"
 #include "src/ports/clock.h"
 #include "src/ports/event_log.h"
+#include "src/ports/http_transport.h"
 #include "src/ports/random_source.h"
 #include "src/quota/shard_lease_manager.h"
 
@@ -31,7 +31,7 @@
     std::uint32_t max_owners = 3;
     Duration return_delay = 100ms;  ///< Unused tokens are returned with the next token request, or after this.
     Duration min_retry_after = 1s;  ///< Retry-After of a request over its tenant's limit.
-    Weakening weakening;            ///< Tests only.
+    DisabledMechanisms disabled;    ///< Tests only.
 };
 
 /// Origin of a granted token; needed to return it.
@@ -73,7 +73,7 @@
     using RequestId = std::uint64_t;
     using Callback = std::function<void(const TokenResult&)>;
 
-    QuotaClient(Clock& clock, RandomSource& random, EventLog& log, BackEndPort& nodes,
+    QuotaClient(Clock& clock, RandomSource& random, EventLog& log, HttpTransport& nodes,
                 const fleet::NodeDirectory& directory, const policy::RouteTable& table,
                 ShardLeaseManager& lease_manager, QuotaClientKnobs knobs);
 
@@ -85,7 +85,7 @@
     /// Returns the token of a request that was not run.
     void returnToken(const std::string& tenant, const Token& token);
     /// Serves another node's token request. @return 200 with a `wire::QuotaGrant` body, or 400 if invalid.
-    HttpAnswer handle(const HttpRequest& request);
+    HttpResponse handle(const HttpRequest& request);
     [[nodiscard]] const QuotaTotals& totals() const { return totals_; }
 
 private:
@@ -127,7 +127,7 @@
     Clock& clock_;
     RandomSource& random_;
     EventLog& log_;
-    BackEndPort& nodes_;
+    HttpTransport& nodes_;
     const fleet::NodeDirectory& directory_;
     const policy::RouteTable& table_;
     ShardLeaseManager& lease_manager_;
--- a/src/quota/shard_lease_manager.cc
+++ b/src/quota/shard_lease_manager.cc
@@ -121,7 +121,7 @@
 /// A store that was restored from an older copy has lost the latest owners. All leases are dropped, and new terms start
 /// only after the lost leases have expired.
 void ShardLeaseManager::checkStoreEra() {
-    if (store_.era() == era_ || knobs_.weakening.ignores_store_era) {
+    if (store_.era() == era_ || knobs_.disabled.store_era_check) {
         return;
     }
     const auto previous = std::exchange(era_, store_.era());
--- a/src/quota/shard_lease_manager.h
+++ b/src/quota/shard_lease_manager.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "src/base/weakening.h"
+#include "src/base/disabled_mechanisms.h"
 #include "src/fleet/node_directory.h"
 #include "src/policy/route_table.h"
 #include "src/ports/clock.h"
@@ -30,7 +30,7 @@
     std::uint32_t checks_before_claim = 3;
     Duration confirm_interval = 3s;  ///< Between two reads of the leases; below half of the term: one may fail.
     Duration confirm_retry_interval = 700ms;  ///< Delay after a failed read or a claim.
-    Weakening weakening;                      ///< Tests only.
+    DisabledMechanisms disabled;              ///< Tests only.
 };
 
 /// Leases of one node. Candidates for a shard are ordered by highest random weight (Thaler and Ravishankar 1998) over
--- a/src/relay/crash_detector.cc
+++ b/src/relay/crash_detector.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-CrashDetector::CrashDetector(Clock& clock, BackEndPort& instances, std::string address, CrashDetectorKnobs knobs)
+CrashDetector::CrashDetector(Clock& clock, HttpTransport& instances, std::string address, CrashDetectorKnobs knobs)
     : clock_(clock), instances_(instances), address_(std::move(address)), knobs_(knobs) {}
 
 void CrashDetector::onConnectionLost(std::size_t running) {
@@ -41,7 +41,7 @@
                                  if (isConnectionLost(result) && probes_left > 1) {
                                      probe(probes_left - 1);
                                  } else {
-                                     decide(isConnectionLost(result) || isRefused(result));
+                                     decide(isConnectionLost(result) || isConnectionRefused(result));
                                  }
                              });
 }
--- a/src/relay/crash_detector.h
+++ b/src/relay/crash_detector.h
@@ -10,8 +10,8 @@
 #include <cstddef>
 #include <string>
 
-#include "src/ports/back_end_port.h"
 #include "src/ports/clock.h"
+#include "src/ports/http_transport.h"
 
 namespace dewcrank::relay {
 
@@ -25,7 +25,7 @@
 /// of the runs lost their connections.
 class CrashDetector {
 public:
-    CrashDetector(Clock& clock, BackEndPort& instances, std::string address, CrashDetectorKnobs knobs);
+    CrashDetector(Clock& clock, HttpTransport& instances, std::string address, CrashDetectorKnobs knobs);
 
     /// @param path of the health endpoint of the instance, used for probes.
     void setProbePath(std::string path) { probe_path_ = std::move(path); }
@@ -45,7 +45,7 @@
     void decide(bool has_crashed);
 
     Clock& clock_;
-    BackEndPort& instances_;
+    HttpTransport& instances_;
     std::string address_;
     CrashDetectorKnobs knobs_;
     std::string probe_path_ = "/health";
--- a/src/relay/relay_message.h
+++ b/src/relay/relay_message.h
@@ -40,9 +40,9 @@
 
 /// What is known about the execution of a relayed request.
 enum class RelayOutcome {
-    kAnswered,  ///< The instance sent a complete response, successful or not.
-    kNotRun,    ///< Provably not run: it was not sent, or the instance declared so.
-    kUnknown,   ///< It was sent, and there is no complete response.
+    kResponded,  ///< The instance sent a complete response, successful or not.
+    kNotRun,     ///< Provably not run: it was not sent, or the instance declared so.
+    kUnknown,    ///< It was sent, and there is no complete response.
 };
 
 /// Why a request was not run or has no response.
@@ -76,7 +76,7 @@
     bool was_sent = false;           ///< The request was sent to an instance.
     bool failed_downstream = false;  ///< The instance responded with a failure after one of its own calls failed.
     bool is_retry_paid = false;      ///< The relay's retry budget has granted a retry at another instance.
-    HttpAnswer answer;               ///< Valid with kAnswered.
+    HttpResponse response;           ///< Valid with kResponded.
     QueueLoad load;                  ///< Of the instance; valid if `has_load`.
     bool has_load = false;
     decision::RouteReport report;  ///< Of the request's route; valid if `has_load`.
--- a/src/relay/relay_retries.cc
+++ b/src/relay/relay_retries.cc
@@ -34,8 +34,8 @@
 }
 
 bool RelayRetries::payForRetry(const RelayRequest& request, const RelayResult& result) {
-    const bool has_failed = result.outcome != RelayOutcome::kAnswered ||
-                            (result.answer.status == kHttpInternalServerError && !result.failed_downstream);
+    const bool has_failed = result.outcome != RelayOutcome::kResponded ||
+                            (result.response.status == kHttpInternalServerError && !result.failed_downstream);
     const bool is_retried = has_failed && result.was_sent && result.reason != RelayReason::kQuarantined &&
                             retriesAfter(request.retry_policy, result.outcome);
     return is_retried && takeFromBudget(request.route);
--- a/src/relay/relay_service.cc
+++ b/src/relay/relay_service.cc
@@ -8,7 +8,7 @@
 
 namespace dewcrank::relay {
 
-RelayService::RelayService(Clock& clock, EventLog& log, BackEndPort& instances, instance::LocalInstance& instance,
+RelayService::RelayService(Clock& clock, EventLog& log, HttpTransport& instances, instance::LocalInstance& instance,
                            quarantine::Quarantine& quarantine, const HeaderNames& names, std::string instance_address,
                            InternalRouteDetector::HostShare host_share, RelayKnobs knobs)
     : clock_(clock),
@@ -34,7 +34,7 @@
 RelayService::~RelayService() = default;
 
 void RelayService::setReplicaView(const std::function<fleet::Replicas()>& view) {
-    if (knobs_.weakening.tries_suspects_at_once) {
+    if (knobs_.disabled.suspect_trial_gate) {
         return;
     }
     trials_.gate().setView([this, view] {
@@ -53,7 +53,7 @@
 
 bool RelayService::accepts(const std::string& instance) const {
     const bool is_current = instance_.record().id() == instance;
-    return instance_.acceptsCallsFor(instance) || (knobs_.weakening.serves_draining && is_current);
+    return instance_.acceptsCallsFor(instance) || (knobs_.disabled.drain_check && is_current);
 }
 
 RelayReason RelayService::rejectionReason(const Call& call) {
@@ -68,7 +68,7 @@
     if (quarantine_.standing(call.fingerprint) == quarantine::Standing::kQuarantined) {
         return RelayReason::kQuarantined;
     }
-    const bool may_retry = knobs_.weakening.repeats_without_budget || retries_.mayRetry(request);
+    const bool may_retry = knobs_.disabled.retry_budget_check || retries_.mayRetry(request);
     return may_retry ? RelayReason::kNone : RelayReason::kRetryBudget;
 }
 
@@ -231,7 +231,7 @@
         crash_detector_.onConnectionLost(runs_.runningAt(incarnation));
         return;
     }
-    if (isRefused(result)) {
+    if (isConnectionRefused(result)) {
         crash_detector_.onConnectionRefused();
     }
     finish(id, resultOf(*calls_[id], std::move(result)));
@@ -306,9 +306,9 @@
 
 /// Converts the result of an attempt. Logs `instance_failed` if the instance sent no response.
 RelayResult RelayService::resultOf(const Call& call, AttemptResult result) {
-    if (result.outcome == AttemptOutcome::kAnswered) {
+    if (result.outcome == AttemptOutcome::kResponded) {
         instance_.onResponse();
-        return resultOfResponse(call, std::move(result.answer));
+        return resultOfResponse(call, std::move(result.response));
     }
     RelayResult relayed;
     relayed.was_sent = result.outcome == AttemptOutcome::kUnknown;
@@ -334,10 +334,10 @@
 }
 
 /// Validates a response. Logs `answer_spoiled` if it is not a valid response to this request.
-RelayResult RelayService::resultOfResponse(const Call& call, HttpAnswer response) {
+RelayResult RelayService::resultOfResponse(const Call& call, HttpResponse response) {
     RelayResult relayed;
     relayed.was_sent = true;
-    switch (classifyResponse(response, call.request_id, names_, knobs_.weakening.takes_unsigned_answers)) {
+    switch (classifyResponse(response, call.request_id, names_, knobs_.disabled.response_signature_check)) {
         case ResponseKind::kMisdirected:
             instance_.onMisdirected(call.request.instance);
             [[fallthrough]];
@@ -356,10 +356,10 @@
             break;
     }
     removeHopByHopHeaders(response.headers);
-    relayed.outcome = RelayOutcome::kAnswered;
+    relayed.outcome = RelayOutcome::kResponded;
     relayed.failed_downstream =
         response.status == kHttpInternalServerError && call_graph_.attributeFailure(clock_.now(), call.sent_at);
-    relayed.answer = std::move(response);
+    relayed.response = std::move(response);
     return relayed;
 }
 
@@ -373,8 +373,8 @@
     auto finished = calls_.extract(id);
     auto& call = *finished.mapped();
     runs_.onEnded(id);
-    const bool is_answered = result.outcome == RelayOutcome::kAnswered;
-    onRunEnded(call, is_answered && isSuccess(result.answer.status));
+    const bool is_answered = result.outcome == RelayOutcome::kResponded;
+    onRunEnded(call, is_answered && isSuccess(result.response.status));
     const auto time = is_answered ? clock_.now() - call.sent_at : Duration::zero();
     if (is_answered) {
         quarantine_.onEndedWell(call.fingerprint);
--- a/src/relay/relay_service.h
+++ b/src/relay/relay_service.h
@@ -12,17 +12,17 @@
 #include <string>
 #include <vector>
 
+#include "src/base/disabled_mechanisms.h"
 #include "src/base/header_names.h"
 #include "src/base/http_message.h"
-#include "src/base/weakening.h"
 #include "src/decision/bottleneck_view.h"
 #include "src/decision/call_graph.h"
 #include "src/decision/instance_demand.h"
 #include "src/decision/usual_deadlines.h"
 #include "src/instance/local_instance.h"
-#include "src/ports/back_end_port.h"
 #include "src/ports/clock.h"
 #include "src/ports/event_log.h"
+#include "src/ports/http_transport.h"
 #include "src/quarantine/quarantine.h"
 #include "src/quarantine/run_ledger.h"
 #include "src/relay/crash_detector.h"
@@ -49,7 +49,7 @@
     decision::CallGraphKnobs call_graph;
     std::uint32_t slots_per_free_slot = 16;     ///< One slot of this many is left free.
     std::uint32_t min_slots_for_free_slot = 8;  ///< At least one slot is left free of an instance with this many.
-    Weakening weakening;                        ///< Tests only.
+    DisabledMechanisms disabled;                ///< Tests only.
 };
 
 /// Forwards requests from this node and from other nodes to the co-located instance. Rejects what the instance cannot
@@ -59,7 +59,7 @@
     using CallId = std::uint64_t;
     using Callback = std::function<void(RelayResult)>;
 
-    RelayService(Clock& clock, EventLog& log, BackEndPort& instances, instance::LocalInstance& instance,
+    RelayService(Clock& clock, EventLog& log, HttpTransport& instances, instance::LocalInstance& instance,
                  quarantine::Quarantine& quarantine, const HeaderNames& names, std::string instance_address,
                  InternalRouteDetector::HostShare host_share, RelayKnobs knobs);
     ~RelayService();
@@ -141,14 +141,14 @@
     void onCrash(const std::string& incarnation);
     void failRunsOf(const std::string& incarnation);
     RelayResult resultOf(const Call& call, AttemptResult result);
-    RelayResult resultOfResponse(const Call& call, HttpAnswer response);
+    RelayResult resultOfResponse(const Call& call, HttpResponse response);
     void onRunEnded(const Call& call, bool is_complete);
     void finish(CallId id, RelayResult result);
     void leaveQueues(CallId id, const Call& call, Duration time);
 
     Clock& clock_;
     EventLog& log_;
-    BackEndPort& instances_;
+    HttpTransport& instances_;
     instance::LocalInstance& instance_;
     quarantine::Quarantine& quarantine_;
     const HeaderNames& names_;
--- a/src/relay/relay_wire.cc
+++ b/src/relay/relay_wire.cc
@@ -135,7 +135,7 @@
     return received;
 }
 
-HttpAnswer toHttp(RelayResult result, const RelayPeer& sender) {
+HttpResponse toHttp(RelayResult result, const RelayPeer& sender) {
     FieldWriter fields;
     write(&fields, sender);
     fields.add(static_cast<std::int64_t>(result.outcome)).add(static_cast<std::int64_t>(result.reason));
@@ -145,8 +145,8 @@
     fields.add(result.failed_downstream ? 1 : 0);
     fields.add(sender.table_age ? sender.table_age->count() + 1 : 0);
     fields.add(result.is_retry_paid ? 1 : 0);
-    auto response = std::move(result.answer);
-    if (result.outcome != RelayOutcome::kAnswered) {
+    auto response = std::move(result.response);
+    if (result.outcome != RelayOutcome::kResponded) {
         response.status = kHttpOk;
     }
     response.headers.removePrefix(kRelayHeaderPrefix);
@@ -154,7 +154,7 @@
     return response;
 }
 
-ReceivedResult fromHttp(HttpAnswer response) {
+ReceivedResult fromHttp(HttpResponse response) {
     ReceivedResult received;
     auto& result = received.result;
     if (!response.headers.has(kResultHeader)) {
@@ -177,7 +177,7 @@
     }
     result.is_retry_paid = fields.number() != 0;
     response.headers.removePrefix(kRelayHeaderPrefix);
-    result.answer = std::move(response);
+    result.response = std::move(response);
     return received;
 }
 
--- a/src/relay/relay_wire.h
+++ b/src/relay/relay_wire.h
@@ -37,8 +37,8 @@
 HttpRequest toHttp(RelayRequest request, const RelayPeer& sender, TimePoint now);
 /// @return nothing if the request has no relay header.
 std::optional<ReceivedRequest> fromHttp(HttpRequest request, TimePoint now);
-HttpAnswer toHttp(RelayResult result, const RelayPeer& sender);
+HttpResponse toHttp(RelayResult result, const RelayPeer& sender);
 /// @return outcome kUnknown and reason kRelayLost if the response has no relay header.
-ReceivedResult fromHttp(HttpAnswer response);
+ReceivedResult fromHttp(HttpResponse response);
 
 }  // namespace dewcrank::relay
--- a/src/relay/response_kind.cc
+++ b/src/relay/response_kind.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-ResponseKind classifyResponse(const HttpAnswer& response, const std::string& request, const HeaderNames& names,
+ResponseKind classifyResponse(const HttpResponse& response, const std::string& request, const HeaderNames& names,
                               bool accepts_unsigned) {
     if (response.status == kHttpMisdirected) {
         return ResponseKind::kMisdirected;
--- a/src/relay/response_kind.h
+++ b/src/relay/response_kind.h
@@ -19,7 +19,7 @@
 
 /// @param request id of the request, which a successful response repeats.
 /// @param accepts_unsigned tests only: accepts a success without the server stamp of the instance.
-[[nodiscard]] ResponseKind classifyResponse(const HttpAnswer& response, const std::string& request,
+[[nodiscard]] ResponseKind classifyResponse(const HttpResponse& response, const std::string& request,
                                             const HeaderNames& names, bool accepts_unsigned);
 
 }  // namespace dewcrank::relay
--- a/tests/unit/fleet/failure_detector_test.cc
+++ b/tests/unit/fleet/failure_detector_test.cc
@@ -14,17 +14,17 @@
 constexpr Duration kRoundTrip = 1ms;
 
 /// Responds to gossip after kRoundTrip, or not until the timeout.
-class ScriptedNodes : public BackEndPort {
+class ScriptedNodes : public HttpTransport {
 public:
     explicit ScriptedNodes(Clock& clock) : clock_(clock) {}
     AttemptHandle send(const std::string&, HttpRequest, Duration timeout, Callback callback) override {
         ++sent;
         AttemptResult result;
-        result.outcome = responds ? AttemptOutcome::kAnswered : AttemptOutcome::kUnknown;
-        result.answer.status = 200;
+        result.outcome = responds ? AttemptOutcome::kResponded : AttemptOutcome::kUnknown;
+        result.response.status = 200;
         wire::Gossip response;
         response.set_sender("a");  // Must name the expected node.
-        result.answer.body = response.SerializeAsString();
+        result.response.body = response.SerializeAsString();
         auto attempt = std::make_unique<Running>();
         attempt->timer = clock_.startTimer(responds ? kRoundTrip : timeout,
                                            [result, callback = std::move(callback)] { callback(result); });
--- a/tests/unit/fleet/gossip_test.cc
+++ b/tests/unit/fleet/gossip_test.cc
@@ -14,7 +14,7 @@
 namespace {
 
 /// Delivers messages between the nodes of a test, and counts messages and bytes.
-class FakeNetwork : public BackEndPort {
+class FakeNetwork : public HttpTransport {
 public:
     explicit FakeNetwork(Clock& clock) : clock_(clock) {}
     AttemptHandle send(const std::string& address, HttpRequest request, Duration, Callback callback) override {
@@ -23,11 +23,11 @@
         auto attempt = std::make_unique<Running>();
         attempt->timer = clock_.startTimer(1ms, [this, address, request, callback = std::move(callback)] {
             AttemptResult result;
-            result.outcome = AttemptOutcome::kAnswered;
-            result.answer = nodes.at(address)->handle(request);
-            bytes += result.answer.body.size();
+            result.outcome = AttemptOutcome::kResponded;
+            result.response = nodes.at(address)->handle(request);
+            bytes += result.response.body.size();
             wire::Gossip response;
-            response.ParseFromString(result.answer.body);
+            response.ParseFromString(result.response.body);
             tables += response.has_table() ? 1 : 0;
             callback(result);
         });
--- a/tests/unit/relay/crash_detector_test.cc
+++ b/tests/unit/relay/crash_detector_test.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /// Ends each probe with the result `next`: timeouts after their time, all others after a millisecond.
-class ScriptedInstance : public BackEndPort {
+class ScriptedInstance : public HttpTransport {
 public:
     explicit ScriptedInstance(Clock& clock) : clock_(clock) {}
     AttemptHandle send(const std::string&, HttpRequest, Duration timeout, Callback callback) override {
@@ -76,8 +76,8 @@
          true,
          3},
         {"one response is lost", 20, 1, {AttemptOutcome::kNotSent, {}, "connect-failed"}, false, 0},
-        {"its only response is lost", 1, 1, {AttemptOutcome::kAnswered, {}, ""}, false, 1},
-        {"half of its connections are reset", 20, 10, {AttemptOutcome::kAnswered, {}, ""}, false, 1},
+        {"its only response is lost", 1, 1, {AttemptOutcome::kResponded, {}, ""}, false, 1},
+        {"half of its connections are reset", 20, 10, {AttemptOutcome::kResponded, {}, ""}, false, 1},
         {"frozen", 4, 4, {AttemptOutcome::kUnknown, {}, "timeout"}, false, 1},
         {"connection attempts time out", 4, 4, {AttemptOutcome::kNotSent, {}, "timeout"}, false, 1},
     };
--- a/tests/unit/relay/relay_crash_test.cc
+++ b/tests/unit/relay/relay_crash_test.cc
@@ -13,7 +13,7 @@
 namespace {
 
 /// Holds requests until a test ends them. Probes end with the result `probe` after a millisecond.
-class TestedInstance : public BackEndPort {
+class TestedInstance : public HttpTransport {
 public:
     explicit TestedInstance(Clock& clock) : clock_(clock) {}
     AttemptHandle send(const std::string&, HttpRequest request, Duration, Callback callback) override {
@@ -32,7 +32,7 @@
         for (auto& callback : std::exchange(callbacks, {})) {
             AttemptResult result;
             result.outcome = outcome;
-            result.answer.status = 500;
+            result.response.status = 500;
             result.reason = reason;
             callback(result);
         }
@@ -92,7 +92,7 @@
     }
     void answerAll() {
         reasons.clear();
-        instances.endAll(AttemptOutcome::kAnswered, "");
+        instances.endAll(AttemptOutcome::kResponded, "");
         time.advance(1ms);
     }
 
@@ -186,7 +186,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_lost_connection_of_a_live_instance_marks_no_suspects) {
-    instances.probe = {AttemptOutcome::kAnswered, {}, ""};
+    instances.probe = {AttemptOutcome::kResponded, {}, ""};
     start("/a");
     loseAllConnections();
     BOOST_TEST((reasons == std::vector{RelayReason::kNoCompleteResponse}));
--- a/tests/unit/relay/relay_parts_test.cc
+++ b/tests/unit/relay/relay_parts_test.cc
@@ -64,7 +64,7 @@
 }
 
 /// Accepts every request and never responds.
-class UnresponsiveInstance : public BackEndPort {
+class UnresponsiveInstance : public HttpTransport {
 public:
     AttemptHandle send(const std::string&, HttpRequest, Duration, Callback) override {
         return std::make_unique<Attempt>();
@@ -129,15 +129,15 @@
 }
 
 /// Responds to each request with status 500 after a millisecond.
-class FailingInstance : public BackEndPort {
+class FailingInstance : public HttpTransport {
 public:
     explicit FailingInstance(Clock& clock) : clock_(clock) {}
     AttemptHandle send(const std::string&, HttpRequest, Duration, Callback callback) override {
         auto attempt = std::make_unique<Running>();
         attempt->timer = clock_.startTimer(1ms, [callback = std::move(callback)] {
             AttemptResult result;
-            result.outcome = AttemptOutcome::kAnswered;
-            result.answer.status = 500;
+            result.outcome = AttemptOutcome::kResponded;
+            result.response.status = 500;
             callback(result);
         });
         return attempt;
@@ -194,13 +194,13 @@
     BOOST_REQUIRE(results.size() == 8U);
     for (std::size_t number = 0; number < results.size(); ++number) {
         BOOST_TEST(results[number].is_retry_paid == (number == 5), "request " << number);
-        BOOST_TEST((results[number].outcome == relay::RelayOutcome::kAnswered), "request " << number);
+        BOOST_TEST((results[number].outcome == relay::RelayOutcome::kResponded), "request " << number);
     }
     BOOST_TEST(relay.retryTotals().granted == 1U);
 }
 
 /// Records the order of requests and responds when a test calls `respondFirst`.
-class PacedInstance : public BackEndPort {
+class PacedInstance : public HttpTransport {
 public:
     AttemptHandle send(const std::string&, HttpRequest request, Duration, Callback callback) override {
         order.emplace_back(request.headers.get("id"));
@@ -209,8 +209,8 @@
     }
     void respondFirst() {
         AttemptResult result;
-        result.outcome = AttemptOutcome::kAnswered;
-        result.answer.status = 500;
+        result.outcome = AttemptOutcome::kResponded;
+        result.response.status = 500;
         auto callback = std::move(callbacks.front());
         callbacks.erase(callbacks.begin());
         callback(result);
@@ -354,14 +354,14 @@
     BOOST_TEST(!relay::fromHttp(read->request, TimePoint(9s)).has_value());
 
     for (const auto outcome :
-         {relay::RelayOutcome::kAnswered, relay::RelayOutcome::kNotRun, relay::RelayOutcome::kUnknown}) {
+         {relay::RelayOutcome::kResponded, relay::RelayOutcome::kNotRun, relay::RelayOutcome::kUnknown}) {
         relay::RelayResult result;
         result.failed_downstream = true;
         result.is_retry_paid = true;
         result.outcome = outcome;
         result.reason = relay::RelayReason::kQueueTooLong;
         result.was_sent = true;
-        result.answer.status = 418;
+        result.response.status = 418;
         result.load = {4, 5, 6, 7ms};
         result.report.downstream = {"leaf", 0.25, 88ms};
         result.report.load = {30.5, 18, 17.25};
@@ -385,9 +385,9 @@
         BOOST_TEST(back.report.is_internal.value());
         BOOST_TEST(back.failed_downstream);
         BOOST_TEST(back.is_retry_paid);
-        BOOST_TEST((back.answer.status == 418) == (outcome == relay::RelayOutcome::kAnswered));
+        BOOST_TEST((back.response.status == 418) == (outcome == relay::RelayOutcome::kResponded));
     }
-    HttpAnswer unmarked;
+    HttpResponse unmarked;
     unmarked.status = 200;
     BOOST_TEST((relay::fromHttp(unmarked).result.outcome == relay::RelayOutcome::kUnknown));
 }
--- a/tests/unit/relay/relay_retries_test.cc
+++ b/tests/unit/relay/relay_retries_test.cc
@@ -49,9 +49,9 @@
         relay::RelayRequest request;
         request.retry_policy = relay::RetryPolicy::kAlways;
         relay::RelayResult failure;
-        failure.outcome = relay::RelayOutcome::kAnswered;
+        failure.outcome = relay::RelayOutcome::kResponded;
         failure.was_sent = true;
-        failure.answer.status = kHttpInternalServerError;
+        failure.response.status = kHttpInternalServerError;
         for (auto& relay : relays) {
             while (relay->payForRetry(request, failure)) {
                 retries += 1;
