--- a/src/entry/access_check.cc
+++ b/src/entry/access_check.cc
@@ -13,7 +13,7 @@
 constexpr std::string_view kAuthorization = "authorization";
 constexpr std::string_view kBlanks = " \t";
 
-/// What follows the scheme; nothing if the value has another one.
+/// @return the credentials after the scheme; nothing if the value has another scheme.
 std::optional<std::string_view> credentialsIn(std::string_view value, std::string_view scheme) {
     const auto end = value.find_first_of(kBlanks);
     if (end == std::string_view::npos || !sameHeaderName(value.substr(0, end), scheme)) {
--- a/src/entry/access_check.h
+++ b/src/entry/access_check.h
@@ -1,5 +1,5 @@
 /// @file
-/// Who calls, and whether that is to be believed now. Needs no input or output.
+/// Authentication of callers by API key. Pure functions without I/O.
 #pragma once
 
 #include <optional>
@@ -12,36 +12,36 @@
 
 namespace dewcrank::entry {
 
-/// Why a request gets an answer of this node's own instead of becoming a call.
+/// Response of this node itself to a request that does not become a call.
 struct Rejection {
-    int status = 0;
-    const char* reason = "";
-    Duration retry_after{};  ///< When the caller may come back; zero: it need not.
+    int status = 0;           ///< HTTP status code.
+    const char* reason = "";  ///< Body of the response, and log key `reason`.
+    Duration retry_after{};   ///< For `Retry-After`; zero: the header is left out.
 };
 
-/// What a request is let in as.
+/// Result of the check.
 struct Access {
-    policy::TenantPtr tenant;  ///< Null where no key is asked for, and none is shown.
-    std::optional<Rejection> rejection;
+    policy::TenantPtr tenant;            ///< Null without a valid key.
+    std::optional<Rejection> rejection;  ///< Set if the request must be rejected.
 };
 
 /// Constants of the check.
 struct AccessKnobs {
-    /// After this a table that is too old, or behind, may have been caught up with: peers and the store are asked for
-    /// it meanwhile.
-    Duration catch_up_time = 500ms;
+    Duration catch_up_time = 500ms;  ///< `retry_after` while the route table is stale: it is fetched meanwhile.
 };
 
-/// The key that a request shows; nothing if it shows none, or more than one. @param scheme of `Authorization`.
+/// Extracts the API key from the `Authorization` header. @param scheme expected authentication scheme, e.g. "Bearer".
+/// @return nothing if the header is missing, repeated or has another scheme.
 std::optional<std::string_view> callerKey(const Headers& headers, std::string_view scheme);
 
-/// A key is asked for where the table has tenants, but on open routes. It is believed while the table's lease is
-/// valid. A key that the table does not hold is only denied if no newer table is known to be in force.
+/// Checks a caller's key. A key is required if the table has tenants and the route is not open. Keys are accepted only
+/// while the table's lease is valid. An unknown key gets 401 only if no newer table is known to exist, else 503.
+/// @param key nothing if the request has none.
 Access checkAccess(TimePoint now, const policy::RouteTable& table, const policy::TableLease& lease,
                    const wire::Route& route, std::optional<std::string_view> key, const AccessKnobs& knobs);
 
-/// Takes the caller's key out of a request, so that no instance sees it, and names its tenant in place of whatever the
-/// caller has sent.
+/// Removes the key from the headers, so that no instance receives it, and replaces the tenant header of the caller by
+/// the tenant's name. @param tenant null: the tenant header is only removed.
 void replaceKeyWithTenant(const policy::RouteTable& table, const HeaderNames& names, const wire::Tenant* tenant,
                           Headers* headers);
 
--- a/src/entry/call_intake.cc
+++ b/src/entry/call_intake.cc
@@ -9,8 +9,7 @@
 namespace {
 
 constexpr Duration kNotReadyRetryAfter = 500ms;
-/// An owner of tokens is missing for some seconds at most, most often for less than one.
-constexpr Duration kQuotaUnknownRetryAfter = 500ms;
+constexpr Duration kQuotaUnknownRetryAfter = 500ms;  ///< No shard owner was reachable.
 
 }  // namespace
 
--- a/src/entry/call_intake.h
+++ b/src/entry/call_intake.h
@@ -1,7 +1,6 @@
 /// @file
-/// What an entry asks before a request becomes a call, in this order: is there a table, does the request have a route
-/// and an id, who calls, and is there room in the caller's quota. What is beyond its quota is turned away before it
-/// counts as demand for anything.
+/// Checks of a request at its entry node before it becomes a call, in this order: route table present, route found,
+/// request id present, caller authenticated, tenant within its quota. Rejected requests do not count as demand.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +14,20 @@
 
 namespace dewcrank::entry {
 
-/// A request that may become a call.
+/// A request that has passed all checks.
 struct Admitted {
     policy::RoutePtr route;
     policy::TenantPtr tenant;           ///< Null if it has none.
-    std::optional<quota::Token> token;  ///< To be given back if the request does not run.
+    std::optional<quota::Token> token;  ///< Quota token; return it if the request does not run.
 };
 
-/// What a request is turned away with, and its route if it has one.
+/// A request that has failed a check.
 struct Rejected {
     Rejection rejection;
-    policy::RoutePtr route;
+    policy::RoutePtr route;  ///< Null if no route matches.
 };
 
-/// What the intake goes by. Outlives it.
+/// Dependencies of the intake; they outlive it.
 struct IntakeServices {
     Clock& clock;
     const policy::RouteTable& table;
@@ -38,24 +37,25 @@
     AccessKnobs access;
 };
 
+/// Runs the checks, and waits for quota tokens if they must be requested from another node.
 class CallIntake {
 public:
     using CallId = std::uint64_t;
     using Outcome = std::variant<Admitted, Rejected>;
-    /// Gets the request back as it was handed in.
+    /// Receives the request unchanged.
     using Callback = std::function<void(HttpRequest, Outcome)>;
 
     explicit CallIntake(IntakeServices services) : services_(services) {}
 
-    /// Calls back exactly once, at once or later, unless the request is cancelled.
-    /// @param number chosen by the caller, for `cancel` and `isWaiting`.
+    /// Calls back exactly once, synchronously or later, unless the request is cancelled.
+    /// @param id for `cancel` and `isWaiting`; must be unique among waiting requests.
     void start(CallId id, HttpRequest request, const Callback& callback);
     void cancel(CallId id);
     [[nodiscard]] bool isWaiting(CallId id) const { return waiting_.contains(id); }
     [[nodiscard]] std::size_t waitingCount() const { return waiting_.size(); }
 
 private:
-    /// One that waits for its token.
+    /// A request that waits for its quota token.
     struct Waiting {
         HttpRequest request;
         Admitted admitted;
--- a/src/entry/entry_call.cc
+++ b/src/entry/entry_call.cc
@@ -55,20 +55,20 @@
 
 void EntryCall::awaitInstance() {
     has_waited_for_instance_ = true;
-    tried_.clear();  // Those that were stopping may be the ones that come back.
+    tried_.clear();  // A relay that was stopping may be restarted.
     const auto objective = std::chrono::milliseconds(plan_.route->objective_ms());
     const auto wait = std::chrono::duration_cast<Duration>(objective * services_.knobs.instance_wait_ratio);
     instance_wait_timer_ = services_.clock.startTimer(wait, [this] { sendToNext(); });
     on_node_changed_ = services_.directory.signalChanged().connect([this](const std::string&) {
         if (services_.selector.relayCount(plan_.service) > 0) {
             on_node_changed_.disconnect();
-            // Not from within the change: what follows may look at the directory.
+            // Deferred, because the change of the directory is still in progress.
             instance_wait_timer_ = services_.clock.startTimer(Duration::zero(), [this] { sendToNext(); });
         }
     });
 }
 
-/// Nothing is repeated while what runs below is overloaded, so that no relay has to pay for it.
+/// Plans no retry while the service or one that it calls is overloaded, so that relays reserve no retry budget for it.
 relay::FailurePlan EntryCall::failurePlan() const {
     const bool is_last = attempts_made_ + 1 >= plan_.route->max_attempts();
     if (is_last || services_.is_overloaded(plan_) || !services_.selector.hasReachableRelay(plan_.service, tried_)) {
@@ -79,7 +79,7 @@
 
 relay::RelayRequest EntryCall::relayRequest(const RelayTarget& target) const {
     const auto objective = std::chrono::milliseconds(plan_.route->objective_ms());
-    const auto share = std::chrono::duration_cast<Duration>(objective * services_.knobs.max_queue_wait_ratio);
+    const auto max_wait = std::chrono::duration_cast<Duration>(objective * services_.knobs.max_queue_wait_ratio);
     relay::RelayRequest request;
     request.request = plan_.request;
     request.instance = target.instance;
@@ -94,7 +94,7 @@
     request.route = plan_.route->name();
     request.priority = plan_.priority;
     request.deadline = plan_.deadline - services_.knobs.relay_deadline_margin;
-    request.longest_wait = share;
+    request.longest_wait = max_wait;
     request.lineage = plan_.lineage;
     return request;
 }
@@ -121,9 +121,9 @@
 void EntryCall::onRelayResponse(AttemptResult result) {
     if (result.outcome == AttemptOutcome::kAnswered) {
         auto received = relay::fromHttp(std::move(result.answer));
-        const bool is_its_own = received.sender.name.empty() || received.sender.name == relay_;
-        if (!is_its_own && !services_.weakening.trusts_any_answer) {
-            onDisplaced(received);
+        const bool is_from_relay = received.sender.name.empty() || received.sender.name == relay_;
+        if (!is_from_relay && !services_.weakening.trusts_any_answer) {
+            onSuperseded(received);
             return;
         }
         services_.directory.onReached(relay_);
@@ -139,9 +139,8 @@
     onRelayLost(result.reason, result.outcome == AttemptOutcome::kUnknown);
 }
 
-/// Another node has the relay's address now. It has refused the call, which names another instance than its own; what
-/// it reports of its load, and of the route, is not the relay's.
-void EntryCall::onDisplaced(const relay::ReceivedResult& received) {
+/// Another node has the relay's address now. Its load and route report are dropped, since they are not the relay's.
+void EntryCall::onSuperseded(const relay::ReceivedResult& received) {
     services_.log.write(Event("node_displaced").with("peer", relay_).with("by", received.sender.name));
     services_.directory.onDisplaced(relay_);
     relay::RelayResult result;
@@ -208,14 +207,13 @@
     }
 }
 
-/// An instance's 504 says that the time was up, which tells nothing of the instance.
+/// An instance's 504 is no failure of the instance: the time ran out.
 bool EntryCall::isInstanceFailure(const relay::RelayResult& result) {
     return result.outcome == relay::RelayOutcome::kUnknown || result.answer.status == kHttpInternalServerError;
 }
 
-/// Another instance may do better, unless a call below has failed: that was tried elsewhere where it
-/// is worth it, and a repeat here would be a repeat of all calls below. Nor while what runs below is
-/// overloaded: there a repeated tree would take the room of a new one.
+/// No retry if a downstream call caused the failure: that call was already retried, and a retry here would multiply all
+/// downstream calls. No retry under overload either: retried call trees would take the capacity of new ones.
 bool EntryCall::mayRetryFailure(const relay::RelayResult& result) const {
     if (result.failed_below) {
         return false;
@@ -272,7 +270,7 @@
     }
 }
 
-/// @return the relay that had the attempt.
+/// Ends the accounting of the attempt in progress. @return its relay.
 std::string EntryCall::releaseRelay() {
     services_.selector.onEnded(relay_);
     services_.failure_detector.onCallEnded(relay_);
@@ -340,7 +338,7 @@
                             .with("table", services_.table.version()));
 }
 
-/// The end callback may not destroy this call before it returns.
+/// The end callback must not destroy this call before it returns.
 void EntryCall::finish(HttpAnswer answer, EntryEnd end, const char* reason) {
     deadline_timer_.reset();
     const int status = answer.status;
--- a/src/entry/entry_call.h
+++ b/src/entry/entry_call.h
@@ -1,5 +1,5 @@
 /// @file
-/// One caller's request at its entry node, from its route to its one answer.
+/// One call at its entry node: sends the request to a relay, retries it at others, and responds to the caller.
 #pragma once
 
 #include <functional>
@@ -25,45 +25,36 @@
 
 namespace dewcrank::entry {
 
-/// A time as `Retry-After` has it: seconds with a fraction.
+/// Formats a duration in seconds with three decimals, for `Retry-After`.
 std::string secondsText(Duration duration);
 
 /// Constants of calls at their entry.
 struct EntryKnobs {
-    /// A request waits in a relay's queue for this share of its latency objective at most.
-    double max_queue_wait_ratio = 0.25;
-    /// While no instance of the service is known, one may be coming back: a request waits for it for this share of its
-    /// latency objective. Refused at once, its caller would be away for longer than that.
-    double instance_wait_ratio = 0.125;
-    /// Relays that may refuse one request before it is refused.
-    std::size_t max_rejections = 3;
-    /// When a refused caller may come back: uniform between these.
-    Duration min_retry_after = 150ms;
+    double max_queue_wait_ratio = 0.25;  ///< Longest wait in a relay's queue, per latency objective.
+    double instance_wait_ratio = 0.125;  ///< Wait for an instance if none is known, per latency objective.
+    std::size_t max_rejections = 3;      ///< Relays that may reject a request before the call fails.
+    Duration min_retry_after = 150ms;    ///< `Retry-After` is uniform between these two.
     Duration max_retry_after = 500ms;
-    /// The same under overload, which lasts.
-    Duration min_overload_retry_after = 500ms;
+    Duration min_overload_retry_after = 500ms;  ///< The same if the call failed because of overload.
     Duration max_overload_retry_after = 1600ms;
-    /// When a request that ends the instances that run it may come back: later than any caller waits.
-    Duration quarantine_retry_after = 60s;
-    /// Less time than this left: no further attempt.
-    Duration min_remaining = 10ms;
-    /// A relay answers this much before the entry gives up, so that its word is heard.
-    Duration relay_deadline_margin = 20ms;
+    Duration quarantine_retry_after = 60s;  ///< `Retry-After` of a quarantined request.
+    Duration min_remaining = 10ms;          ///< With less time than this left there is no further attempt.
+    Duration relay_deadline_margin = 20ms;  ///< A relay's deadline is this much earlier than the call's.
 };
 
-/// A call that has been matched to a route.
+/// A request that has been matched to a route, with the parameters of its call.
 struct EntryPlan {
-    HttpRequest request;     ///< Without what concerns the caller's connection only.
-    policy::RoutePtr route;  ///< Never null; stays as it is when the table changes.
-    std::string service;
+    HttpRequest request;         ///< Without hop-by-hop headers.
+    policy::RoutePtr route;      ///< Never null; unaffected by later changes of the table.
+    std::string service;         ///< Whose instances may run the request.
     std::uint32_t priority = 0;  ///< Of the route; 0 is the most urgent.
-    std::uint32_t rank = 0;      ///< The same after that of its tenant, which goes first.
-    TimePoint deadline{};
-    Duration caller_deadline{};  ///< The time that the caller gives.
-    decision::Lineage lineage;   ///< Taken over from the run that it is a call of.
+    std::uint32_t rank = 0;      ///< Order of admission: by priority of the tenant, then of the route.
+    TimePoint deadline{};        ///< The caller has its response by then.
+    Duration caller_deadline{};  ///< Time limit that the caller sent, or the timeout of the route.
+    decision::Lineage lineage;   ///< Inherited from the run that makes this call.
 };
 
-/// What calls use of their node. Outlives every call.
+/// Dependencies of calls; they outlive every call.
 struct EntryServices {
     Clock& clock;
     RandomSource& random;
@@ -78,32 +69,39 @@
     policy::TableLease& lease;
     HeaderNames names;
     EntryKnobs knobs;
-    /// Told of each result that a relay has reported.
+    /// Called with each result that holds a relay's load.
     std::function<void(const EntryPlan&, const std::string& relay, const relay::RelayResult&)> on_relay_result;
-    /// True if relays report that less than all is to be asked of the service, or of one below it.
+    /// True if the admission ratio of the service, or of a service that it calls, is below 1.
     std::function<bool(const EntryPlan&)> is_overloaded;
     Weakening weakening;  ///< Tests only.
 };
 
-/// How a call ended at its entry.
-enum class EntryEnd { kAnswered, kRefused, kUnknown };
+/// Outcome of a call at its entry.
+enum class EntryEnd {
+    kAnswered,  ///< The caller has the response of an instance.
+    kRefused,   ///< The request provably did not run.
+    kUnknown    ///< The request may have run; there is no complete response.
+};
 
-/// What a call tells its node when it ends.
+/// Summary of a finished call, for its node.
 struct EntryReport {
     EntryEnd end = EntryEnd::kAnswered;
     std::string route;
     std::string service;
-    std::string reason;  ///< "none" if it was answered.
+    std::string reason;  ///< Why the call failed; "none" for kAnswered.
     Duration elapsed{};
-    int status = 0;  ///< Of the answer.
+    int status = 0;  ///< HTTP status of the response.
 };
 
-/// State machine of one call: choose a relay, send, judge; again at another relay while the
-/// request has provably not run, or may run twice and budget and attempts allow it. A failure that
-/// an instance answers with counts as the latter.
+/// State machine of one call. Sends the request to a relay and retries at another one if the request provably did not
+/// run. An idempotent request is also retried after a lost response or an instance's 500, within the route's
+/// `max_attempts` and the retry budget.
+///
+/// Sends exactly one response: the instance's own; 503 with `Retry-After` if the request provably did not run; 502, or
+/// 504 after a timeout, if it may have run.
 ///
-/// Exactly one answer is given, at once when it is known: the instance's own; 503 with a time
-/// to come back if the request has provably not run; 502 or 504 if that is not known.
+/// Log events: `request_answered` for each complete response of an instance, `request_given_up` when the call fails,
+/// `relay_failed` when a relay does not respond, `node_displaced` when another node responds at a relay's address.
 class EntryCall {
 public:
     using ReplyCallback = std::function<void(HttpAnswer)>;
@@ -115,10 +113,10 @@
     EntryCall& operator=(const EntryCall&) = delete;
 
     void start();
-    /// Refuses the call instead of starting it.
+    /// Responds with 503 for overload instead of starting the call.
     void reject(const char* reason);
-    /// A node does not answer probes. If the call runs there and may run twice, it goes elsewhere;
-    /// else it waits on: the node may come back with the answer.
+    /// Call when a node does not respond to probes. An idempotent request that runs there is retried at another relay;
+    /// any other keeps waiting, as the node may still respond.
     void onNodeUnresponsive(const std::string& node);
 
 private:
@@ -128,7 +126,7 @@
     [[nodiscard]] relay::FailurePlan failurePlan() const;
     [[nodiscard]] relay::RelayRequest relayRequest(const RelayTarget& target) const;
     void onRelayResponse(AttemptResult result);
-    void onDisplaced(const relay::ReceivedResult& received);
+    void onSuperseded(const relay::ReceivedResult& received);
     void onRelayLost(const std::string& reason, bool was_sent);
     std::string releaseRelay();
     void onResult(relay::RelayResult result);
@@ -151,24 +149,24 @@
     EndCallback end_;
     TimePoint started_{};
     TimerHandle deadline_timer_;
-    TimerHandle instance_wait_timer_;            ///< While it waits for an instance to come back.
-    sigc::connection on_node_changed_;           ///< The same.
-    std::string relay_;                          ///< The node that has the attempt now; empty: none.
-    AttemptHandle attempt_;                      ///< At another node.
-    TimePoint sent_{};                           ///< When that was sent.
-    relay::RelayService::Number local_run_ = 0;  ///< At this node's own relay.
-    std::set<std::string> tried_;
-    std::size_t rejections_ = 0;
-    std::uint32_t attempts_made_ = 0;       ///< Instances that were sent the request.
-    bool is_retry_paid_ = false;            ///< By the relay at which it failed last.
-    bool is_counted_ = false;               ///< A relay has counted it among its service's requests.
-    bool has_met_only_stopping_ = false;    ///< Each relay that was asked was stopping.
-    bool has_waited_for_instance_ = false;  ///< That an instance comes back.
+    TimerHandle instance_wait_timer_;            ///< Set while the call waits for an instance to become ready.
+    sigc::connection on_node_changed_;           ///< Connected while the call waits for an instance.
+    std::string relay_;                          ///< Node of the attempt in progress; empty: none.
+    AttemptHandle attempt_;                      ///< Attempt at another node's relay.
+    TimePoint sent_{};                           ///< When `attempt_` was sent.
+    relay::RelayService::Number local_run_ = 0;  ///< Attempt at this node's own relay; 0: none.
+    std::set<std::string> tried_;                ///< Nodes that are not tried again.
+    std::size_t rejections_ = 0;                 ///< Relays that have rejected the request.
+    std::uint32_t attempts_made_ = 0;            ///< Attempts in which an instance was sent the request.
+    bool is_retry_paid_ = false;                 ///< The last relay has taken the retry from its budget.
+    bool is_counted_ = false;                    ///< A relay has counted the request among its service's requests.
+    bool has_met_only_stopping_ = false;         ///< All relays so far rejected the request because they are stopping.
+    bool has_waited_for_instance_ = false;
     bool may_have_run_ = false;
-    std::optional<HttpAnswer> failure_response_;  ///< An instance's own, given if no other instance does better.
-    bool is_overload_ = false;                    ///< Refused for want of room, or of instances that could be spared.
-    bool is_suspect_ = false;                     ///< An instance has ended while it ran it.
-    bool is_quarantined_ = false;                 ///< It is kept from the instances.
+    std::optional<HttpAnswer> failure_response_;  ///< An instance's 500; sent to the caller if no retry succeeds.
+    bool is_overload_ = false;  ///< Last rejected for lack of capacity, or as a suspect without a slot.
+    bool is_suspect_ = false;   ///< An instance crashed while it ran the request.
+    bool is_quarantined_ = false;
 };
 
 }  // namespace dewcrank::entry
--- a/src/entry/relay_selector.cc
+++ b/src/entry/relay_selector.cc
@@ -41,7 +41,7 @@
         cost = cost * knobs_.cold_factor + knobs_.cold_cost;
     }
     if (candidate.record.zone() != directory_.self().zone()) {
-        // A full service is one queue, whatever the zone.
+        // A relay at full load gets no zone penalty: capacity counts more than locality then.
         cost += knobs_.other_zone_cost * std::clamp(2 * (1 - cost), 0.0, 1.0);
     }
     cost += knobs_.failure_cost * stats.failures.fadedAt(now);
@@ -84,7 +84,7 @@
            record.instance().service() == service;
 }
 
-/// The one that was heard last is the least likely to have ended.
+/// Prefers the relay with the most recent contact, which is the least likely to have stopped, and this node last.
 RelayTarget RelaySelector::chooseStopping(const std::string& service, const std::set<std::string>& excluded) const {
     const fleet::KnownNode* best = nullptr;
     for (const auto* node : directory_.othersWith(service)) {
--- a/src/entry/relay_selector.h
+++ b/src/entry/relay_selector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Chooses the relay that a request goes to, by load, zone and what failed lately.
+/// Load balancing over the relays of a service, by load, zone and recent failures.
 #pragma once
 
 #include <set>
@@ -14,49 +14,50 @@
 
 namespace dewcrank::entry {
 
-/// Constants of the choice. A relay's cost is its use (busy and waiting over slots) plus these.
+/// Constants of the cost of a relay: its utilization (running and waiting requests per slot) plus these terms.
 struct SelectorKnobs {
-    double other_zone_cost = 0.6;
+    double other_zone_cost = 0.6;  ///< Falls to zero as the utilization rises from 0.5 to 1.
     double cold_cost = 0.3;
-    double cold_factor = 2.0;       ///< A cold instance is about this much slower.
-    double max_random_cost = 0.05;  ///< Uniform up to this: keeps entries from choosing alike.
-    double suspected_cost = 100;    ///< Chosen only if there is no other.
-    Duration load_decay = 2s;       ///< Reported loads fade over this time.
-    /// Of a relay all of whose calls fail lately; less in proportion. Such a relay goes on getting
-    /// some calls as its cost fades, so that its recovery is seen.
-    double failure_cost = 3;
-    Duration failure_decay = 2s;
+    double cold_factor = 2.0;       ///< Multiplies the utilization of a cold instance, which is slower.
+    double max_random_cost = 0.05;  ///< Uniform from zero to this; keeps entries from choosing the same relay.
+    double suspected_cost = 100;    ///< Such a relay is chosen only if there is no other.
+    Duration load_decay = 2s;       ///< Weight of a reported load falls linearly to zero over this time.
+    double failure_cost = 3;        ///< Times the decaying mean of recent failures, so that recovery is noticed.
+    Duration failure_decay = 2s;    ///< Decay time of that mean.
 };
 
 /// Where a request is sent.
 struct RelayTarget {
-    std::string node;
-    std::string address;
-    std::string instance;
-    bool is_stopping = false;  ///< There is no other: its relay takes what it can still end.
+    std::string node;          ///< Node name; empty: no relay can be chosen.
+    std::string address;       ///< Address of the node.
+    std::string instance;      ///< Id of the node's instance.
+    bool is_stopping = false;  ///< The relay is stopping, and the only choice.
 };
 
-/// Knows the loads that relays report beside their answers, and what this node has sent since.
+/// Estimates the load of each relay from its last report and from what this node has sent since.
 class RelaySelector {
 public:
     RelaySelector(Clock& clock, RandomSource& random, const fleet::NodeDirectory& directory, SelectorKnobs knobs);
 
-    /// The relay of least cost for a service; one that is stopping only if there is no other: while the nodes of a
-    /// service are stopped in turn, callers would be refused though their instances are there.
+    /// Chooses the relay of least cost for a service. A stopping relay is chosen only if there is no other, so that a
+    /// rolling restart rejects no requests.
     /// @param excluded names of nodes not to choose.
-    /// @return a target without a node if there is none.
+    /// @return a target with an empty node if there is none.
     RelayTarget choose(const std::string& service, const std::set<std::string>& excluded);
-    /// True if a relay serves the service, be it that it is stopping.
+    /// True if any relay serves the service, stopping ones included.
     [[nodiscard]] bool hasRelay(const std::string& service) const;
-    /// True if a relay of the service that is not suspected is left beside the excluded ones.
+    /// True if a relay serves the service that is neither excluded, suspected nor stopping.
     [[nodiscard]] bool hasReachableRelay(const std::string& service, const std::set<std::string>& excluded) const;
+    /// An attempt was sent to the relay of a node.
     void onSent(const std::string& node);
+    /// The attempt has ended, for whatever reason.
     void onEnded(const std::string& node);
+    /// The relay has reported its load.
     void onLoad(const std::string& node, const relay::QueueLoad& load);
-    /// A call that an instance was sent has ended. @param has_failed the instance answered with a
-    /// failure of its own, spoiled its answer, or gave none.
+    /// An instance that was sent a request has finished it, or lost it. @param has_failed it responded with a failure
+    /// of its own, or without a complete response.
     void onOutcome(const std::string& node, bool has_failed);
-    /// Relays that serve a service now.
+    /// @return number of relays that serve a service and are not stopping.
     [[nodiscard]] std::size_t relayCount(const std::string& service) const;
 
 private:
@@ -73,7 +74,7 @@
         return !node.is_displaced && serves(node.record, service);
     }
     [[nodiscard]] static bool servesWhileStopping(const wire::NodeRecord& record, const std::string& service);
-    /// A relay that may be chosen, as the directory knows it.
+    /// A relay that may be chosen, from the directory.
     struct Candidate {
         const wire::NodeRecord& record;
         std::size_t number;
@@ -89,7 +90,7 @@
     RandomSource& random_;
     const fleet::NodeDirectory& directory_;
     SelectorKnobs knobs_;
-    std::vector<RelayStats> stats_;  ///< By the directory's number of the node.
+    std::vector<RelayStats> stats_;  ///< Indexed by the directory's number of the node; 0 is this node.
 };
 
 }  // namespace dewcrank::entry
--- a/src/quarantine/exchange.cc
+++ b/src/quarantine/exchange.cc
@@ -43,8 +43,8 @@
 
 std::vector<std::string> Exchange::randomRelays(std::size_t count) {
     auto names = relays();
-    for (std::size_t place = 0; place < std::min(count, names.size()); ++place) {
-        std::swap(names[place], names[place + random_.below(names.size() - place)]);
+    for (std::size_t index = 0; index < std::min(count, names.size()); ++index) {
+        std::swap(names[index], names[index + random_.below(names.size() - index)]);
     }
     names.resize(std::min(count, names.size()));
     return names;
@@ -61,7 +61,7 @@
     }
 }
 
-/// A process that has just started knows nothing of what instances ended with before.
+/// Requests the state once, as soon as the directory lists another relay: a started process has no records.
 void Exchange::requestInitialState() {
     if (has_requested_state_ || directory_.othersWith(service_).empty()) {
         return;
@@ -104,16 +104,16 @@
 }
 
 void Exchange::onResponse(const std::string& name, const AttemptResult& result) {
-    wire::Quarantine answer;
-    const bool is_answered = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
-                             answer.ParseFromString(result.answer.body);
-    if (!is_answered) {
+    wire::Quarantine response;
+    const bool is_valid = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
+                          response.ParseFromString(result.answer.body);
+    if (!is_valid) {
         directory_.onUnreachable(name);
         return;
     }
     directory_.onReached(name);
-    merge(answer);
-    for (const auto fingerprint : answer.ended_well()) {
+    merge(response);
+    for (const auto fingerprint : response.ended_well()) {
         quarantine_.onCompletedElsewhere(fingerprint);
     }
 }
@@ -134,12 +134,12 @@
 }
 
 HttpAnswer Exchange::handle(const HttpRequest& request) {
-    HttpAnswer answer;
+    HttpAnswer response;
     wire::Quarantine received;
     if (!received.ParseFromString(request.body)) {
         log_.write(Event("quarantine_refused").with("step", "parse").with("bytes", request.body.size()));
-        answer.status = kHttpBadRequest;
-        return answer;
+        response.status = kHttpBadRequest;
+        return response;
     }
     directory_.onReached(received.sender());
     merge(received);
@@ -163,9 +163,9 @@
             reply.add_suspects(fingerprint);
         }
     }
-    answer.status = kHttpOk;
-    answer.body = reply.SerializeAsString();
-    return answer;
+    response.status = kHttpOk;
+    response.body = reply.SerializeAsString();
+    return response;
 }
 
 }  // namespace dewcrank::quarantine
--- a/src/quarantine/exchange.h
+++ b/src/quarantine/exchange.h
@@ -1,9 +1,9 @@
 /// @file
-/// Tells the other relays of the service which requests its instances ended with.
+/// Replicates quarantine records and suspects among the relays of one service.
 ///
-/// Each end of an instance is told to all of them at once, before callers can come again: they are the only
-/// door to the instances that are left. Records are told again and again, to some relays at random, so that
-/// one that was cut off or has just started has them within seconds. While nothing is quarantined nothing is sent.
+/// A crash is broadcast to all relays at once, so that they recognize client retries of the requests involved. Records
+/// are also gossiped periodically to random relays, which covers relays that were unreachable or have just started.
+/// No gossip is sent while there are no records.
 #pragma once
 
 #include <sigc++/sigc++.h>
@@ -29,27 +29,27 @@
 
 /// Constants of the exchange.
 struct ExchangeKnobs {
-    Duration timeout = 600ms;
-    /// Between two rounds while something is quarantined: with two relays told in each, one that has missed the
-    /// news has it within 3 s in 399 of 400 cases.
-    Duration interval = 1s;
-    std::size_t fanout = 2;
-    /// Relays that a relay asks for what they know when it first knows of any.
-    std::size_t initial_requests = 2;
+    Duration timeout = 600ms;          ///< Of a message.
+    Duration interval = 1s;            ///< Between gossip rounds.
+    std::size_t fanout = 2;            ///< Relays per gossip round.
+    std::size_t initial_requests = 2;  ///< Relays that a started relay requests records and suspects from.
 };
 
-/// The exchange of one relay with the others of its service.
+/// Sends and receives the quarantine messages of one relay. Log events: `quarantine_learned` when a received record is
+/// new here, `quarantine_refused` when a message cannot be parsed.
 class Exchange {
 public:
     Exchange(Clock& clock, RandomSource& random, EventLog& log, BackEndPort& nodes, fleet::NodeDirectory& directory,
              Quarantine& quarantine, std::string service, ExchangeKnobs knobs);
 
+    /// Starts periodic gossip.
     void start();
-    /// Tells all relays of the service.
+    /// Sends all records and the suspects of a crash to all other relays of the service.
     void broadcast(const CrashNotice& notice);
-    /// Emitted when another relay tells that its instance has just ended by itself.
+    /// Emitted when another relay reports that its instance has just crashed.
     sigc::signal<void()>& signalInstanceCrashed() { return signal_instance_crashed_; }
-    /// Answers another relay's message.
+    /// Merges another relay's message. The response holds this relay's records, which of the received requests have
+    /// recently completed here, and, on request, the suspects; its status is 400 if the message cannot be parsed.
     HttpAnswer handle(const HttpRequest& request);
 
 private:
--- a/src/quarantine/fingerprint.cc
+++ b/src/quarantine/fingerprint.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The seed of each part is the hash of those before it, so that no byte can move from one part to the next.
+/// The hash of the preceding parts seeds the next one, so that bytes moved across the border of two parts change it.
 std::uint64_t hashOf(std::string_view part, std::uint64_t seed) {
     return XXH3_64bits_withSeed(part.data(), part.size(), seed);
 }
--- a/src/quarantine/fingerprint.h
+++ b/src/quarantine/fingerprint.h
@@ -1,6 +1,5 @@
 /// @file
-/// What a request is recognized by when it comes again: its id is new with each try of a caller, and it
-/// may come in at any node.
+/// Content hash that identifies a request across client retries, which carry new request ids, and across entry nodes.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +9,14 @@
 
 namespace dewcrank::quarantine {
 
-/// 64 bits of a hash: of the 100,000 distinct requests of some minutes, two agree once in 3.7 billion cases.
+/// 64-bit hash. Collisions among the requests that a relay tracks are negligible.
 using Fingerprint = std::uint64_t;
 
-/// Of what decides what an instance does: method, host, path with query, and body. Not of the id, the deadline
-/// or what the platform sets. Costs a pass over the body.
+/// Hashes what determines the work of the instance: method, host, path with query, and body. Request id, deadline and
+/// other headers are left out. Linear in the size of the body.
 [[nodiscard]] Fingerprint fingerprintOf(const HttpRequest& request);
 
-/// As it stands in log lines: 16 hexadecimal digits.
+/// @return 16 hexadecimal digits, as written to the log.
 [[nodiscard]] std::string fingerprintText(Fingerprint fingerprint);
 
 }  // namespace dewcrank::quarantine
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -68,7 +68,7 @@
     evictStale();
 }
 
-/// Of two relays that have changed a record at the same time, the one that has quarantined it is believed.
+/// If two relays have changed a record concurrently, quarantine takes precedence over release.
 bool Quarantine::merge(const wire::QuarantineRecord& record) {
     const auto& known = records_.find(record.fingerprint());
     const bool is_known = known != records_.end();
@@ -116,7 +116,7 @@
     }));
 }
 
-/// A record is kept for one more first term after its own, in which its request counts as a suspect.
+/// A record is kept for `initial_term` after the end of its own term; its request counts as a suspect meanwhile.
 void Quarantine::evictStale() {
     const auto now = clock_.now();
     std::erase_if(records_, [&](const auto& entry) { return entry.second.until + knobs_.initial_term < now; });
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -1,16 +1,14 @@
 /// @file
-/// Which requests may be to blame for the end of instances, and which are kept from them (the query of
-/// death of the field). A request is known by its fingerprint, so that it is recognized under a new id, from
-/// another caller's try and at another node.
+/// Quarantine of requests that crash instances ("query of death"). Requests are identified by fingerprint, so that
+/// client retries and requests that arrive at other nodes are recognized.
 ///
-///   clear -> suspect:        it ran when an instance ended
-///   suspect -> quarantined:  it was the one suspect that ran at an instance, and that ended as well
-///   suspect -> clear:        it ended well, or nobody asked for it for a while
-///   quarantined -> suspect:  its term is over: a new release may run it well
-///   quarantined -> clear:    it has ended well at another relay meanwhile
+///   clear -> suspect:        it was running when an instance crashed
+///   suspect -> quarantined:  it was the only suspect running when another instance crashed
+///   suspect -> clear:        it completed, or was not marked again before `suspicion_timeout`
+///   quarantined -> suspect:  its term is over: a new release may fix the crash
+///   quarantined -> clear:    it completed at another relay
 ///
-/// As relays let one suspect run at a time, one end of an instance quarantines one request at most, whatever
-/// else ran there: a crash for other reasons costs others nothing but the wait for their turn.
+/// Relays run one suspect at a time, so that a crash quarantines at most one request.
 #pragma once
 
 #include <sigc++/sigc++.h>
@@ -30,14 +28,11 @@
 
 /// Constants of the quarantine of one relay.
 struct QuarantineKnobs {
-    /// A suspect that is not asked for again is forgotten after this: longer than callers go on trying.
-    Duration suspicion_timeout = 60s;
-    /// A term of quarantine; the next one of the same request is as much longer. A request that always ends
-    /// its instance ends one of each service in ten minutes then, and less and less.
+    Duration suspicion_timeout = 60s;  ///< Longer than clients retry.
+    /// A term of quarantine lasts `initial_term` times the version of the record, so that repeated terms grow.
     Duration initial_term = std::chrono::minutes(10);
     Duration max_term = std::chrono::hours(24);
-    /// Bounds of memory: the oldest suspects, and the records with least of their term left, go first. An
-    /// instance of 200 slots leaves 200 suspects; 4,096 take about 0.3 MB.
+    /// Bounds of memory. The oldest suspects, and the records that expire first, are evicted.
     std::size_t max_suspects = 4096;
     std::size_t max_records = 256;
     RecentCompletionKnobs recent_completions;
@@ -45,46 +40,50 @@
 
 /// How a relay treats a request.
 enum class QuarantineState {
-    kClear,
-    kSuspect,      ///< Runs only while no other suspect does.
+    kClear,        ///< Runs like any other request.
+    kSuspect,      ///< Runs only while no other suspect runs.
     kQuarantined,  ///< Does not run.
 };
 
-/// Aggregate: the standing of the requests of one service, as one relay knows it. Records converge over
-/// relays whatever the order in which they are told: the greater version stays.
+/// One relay's view of the suspect and quarantined requests of its service. Records are versioned and merge to the
+/// same result in any order: the greatest version wins.
 class Quarantine {
 public:
     Quarantine(Clock& clock, QuarantineKnobs knobs);
 
     [[nodiscard]] QuarantineState state(Fingerprint fingerprint) const;
-    /// How much longer it is quarantined; zero if it is not.
+    /// @return time until the quarantine ends; zero if the request is not quarantined.
     [[nodiscard]] Duration remainingTerm(Fingerprint fingerprint) const;
 
-    /// It ran when an instance ended, here or at another relay. What has ended well here lately is not
-    /// suspected: requests that are asked for often run at every crash, whatever the cause.
-    /// @return false if it is not suspected.
+    /// The request was running when an instance crashed, here or at another relay. A request that recently completed
+    /// here stays clear: frequent requests run during every crash, whatever its cause.
+    /// @return false if it stays clear.
     bool markSuspect(Fingerprint fingerprint);
-    /// It was the one suspect that ran when an instance ended.
+    /// The request was the only suspect running when an instance crashed. Starts a term of quarantine.
     void markQuarantined(Fingerprint fingerprint);
-    /// It was answered by an instance, which goes on.
+    /// This relay's instance has responded to the request without a crash. Clears the request.
     void onCompleted(Fingerprint fingerprint);
-    /// The same at another relay.
+    /// Another relay has reported that the request completed there. Clears the request.
     void onCompletedElsewhere(Fingerprint fingerprint);
+    /// True if the request completed at this relay within the retention of `RecentCompletions`.
     [[nodiscard]] bool hasRecentlyCompleted(Fingerprint fingerprint) const;
 
-    /// Takes over what another relay knows. @return true if it was news.
+    /// Merges a record of another relay. @return true if the record held here has changed.
     bool merge(const wire::QuarantineRecord& record);
+    /// All records, released and expired ones included, to be sent to other relays.
     [[nodiscard]] std::vector<wire::QuarantineRecord> records() const;
+    /// Requests whose suspicion has not timed out.
     [[nodiscard]] std::vector<Fingerprint> suspects() const;
+    /// @return number of suspects held, including timed-out ones that were not evicted yet.
     [[nodiscard]] std::size_t suspectCount() const { return suspects_.size(); }
-    /// Requests that are quarantined now.
+    /// @return number of requests whose term has not ended.
     [[nodiscard]] std::size_t quarantinedCount() const;
 
 private:
     struct Record {
-        std::uint32_t version = 0;  ///< Rises with each change, over all relays.
-        bool is_released = false;
-        TimePoint until{};  ///< End of the term, of a release as well: so long it holds against older news.
+        std::uint32_t version = 0;  ///< Incremented by each change at any relay.
+        bool is_released = false;   ///< Cleared before the end of its term.
+        TimePoint until{};          ///< End of the term. A released record is kept too, to override older versions.
     };
     void updateRecord(Fingerprint fingerprint, bool is_released);
     void release(Fingerprint fingerprint);
@@ -92,7 +91,7 @@
 
     Clock& clock_;
     QuarantineKnobs knobs_;
-    std::map<Fingerprint, TimePoint> suspects_;  ///< With the time from which on each is forgotten.
+    std::map<Fingerprint, TimePoint> suspects_;  ///< With the time at which suspicion times out.
     std::map<Fingerprint, Record> records_;
     RecentCompletions recent_completions_;
 };
--- a/src/quarantine/recent_completions.h
+++ b/src/quarantine/recent_completions.h
@@ -1,5 +1,5 @@
 /// @file
-/// Remembers which requests have ended well lately, in fixed memory.
+/// Fixed-size cache of the requests that completed recently.
 #pragma once
 
 #include <cstddef>
@@ -10,14 +10,14 @@
 
 namespace dewcrank::quarantine {
 
-/// Constants of the memory.
+/// Constants of the cache.
 struct RecentCompletionKnobs {
-    Duration retention = 10s;
-    /// Places of 16 bytes: 64 KB. The later of two requests that share a place stays.
-    std::size_t entries = 4096;
+    Duration retention = 10s;    ///< A completion counts as recent for this time.
+    std::size_t entries = 4096;  ///< 16 bytes each.
 };
 
-/// A table by a part of the fingerprint. What it says is true; it may have forgotten some.
+/// Direct-mapped cache, indexed by fingerprint. A newer entry overwrites an older one with the same index, so that
+/// `contains` may miss a recent completion, but never reports one that did not take place.
 class RecentCompletions {
 public:
     explicit RecentCompletions(RecentCompletionKnobs knobs) : knobs_(knobs), entries_(knobs.entries) {}
@@ -31,7 +31,7 @@
 private:
     struct Entry {
         Fingerprint fingerprint = 0;
-        TimePoint at{};  ///< The epoch: none.
+        TimePoint at{};  ///< The epoch marks an empty entry.
     };
     Entry& entryOf(Fingerprint fingerprint) { return entries_[fingerprint % entries_.size()]; }
 
--- a/src/quarantine/run_tracker.cc
+++ b/src/quarantine/run_tracker.cc
@@ -6,14 +6,9 @@
 
 namespace {
 
-/// How long an instance may go on with a run whose connection was closed: as long as runs that ended instances took
-/// (70 to 80 ms), and as much again for its end to be told.
-constexpr Duration kCancelledRetention = 150ms;
-
-/// How long a run whose connection was lost counts: until the next instance has started and sent a heartbeat.
-constexpr Duration kLostRetention = 5s;
-/// Bound of memory: some instances' worth of runs.
-constexpr std::size_t kMaxEndedRuns = 1024;
+constexpr Duration kCancelledRetention = 150ms;  ///< An instance may run a cancelled request for this time.
+constexpr Duration kLostRetention = 5s;          ///< Until the next incarnation has started and sent a heartbeat.
+constexpr std::size_t kMaxEndedRuns = 1024;      ///< Bounds memory.
 
 }  // namespace
 
@@ -50,7 +45,7 @@
     return !runsOf(instance).empty();
 }
 
-/// Former ones first, so that of several trials the last is the one that was there at the end.
+/// Ended runs come first, so that the last trial in the result is the one that ran when the instance crashed.
 std::vector<const Run*> RunTracker::runsOf(const std::string& instance) const {
     std::vector<const Run*> found;
     for (const auto& it : ended_runs_) {
@@ -74,11 +69,11 @@
     notice.runs = runs.size();
     const auto trial = std::find_if(runs.rbegin(), runs.rend(), [](const Run* run) { return run->is_trial; });
     if (trial != runs.rend()) {
-        markQuarantined(**trial, &notice);
+        quarantine(**trial, &notice);
     }
     for (const auto* run : runs) {
-        const bool is_convicted = trial != runs.rend() && run->fingerprint == (*trial)->fingerprint;
-        if (!is_convicted && quarantine_.markSuspect(run->fingerprint)) {
+        const bool is_trial = trial != runs.rend() && run->fingerprint == (*trial)->fingerprint;
+        if (!is_trial && quarantine_.markSuspect(run->fingerprint)) {
             notice.suspects.push_back(run->fingerprint);
         }
     }
@@ -91,7 +86,7 @@
     return notice;
 }
 
-void RunTracker::markQuarantined(const Run& run, CrashNotice* notice) {
+void RunTracker::quarantine(const Run& run, CrashNotice* notice) {
     quarantine_.markQuarantined(run.fingerprint);
     notice->quarantined.push_back(run.fingerprint);
     log_.write(Event("request_quarantined")
--- a/src/quarantine/run_tracker.h
+++ b/src/quarantine/run_tracker.h
@@ -1,5 +1,5 @@
 /// @file
-/// The runs that an instance has, and whom its end is blamed on.
+/// Tracks the runs of a relay's instance and decides which requests become suspects when the instance crashes.
 #pragma once
 
 #include <cstdint>
@@ -14,26 +14,25 @@
 
 namespace dewcrank::quarantine {
 
-/// What ran when an instance ended.
+/// The requests that a crash was attributed to.
 struct CrashNotice {
-    std::string instance;
-    std::size_t runs = 0;
-    std::vector<Fingerprint> suspects;
-    std::vector<Fingerprint> quarantined;  ///< One at most.
+    std::string instance;                  ///< Incarnation that crashed.
+    std::size_t runs = 0;                  ///< Runs that the crash may be due to.
+    std::vector<Fingerprint> suspects;     ///< Requests that became suspects.
+    std::vector<Fingerprint> quarantined;  ///< The trial, if there was one; at most one entry.
 };
 
 /// A request that was sent to an instance.
 struct Run {
-    std::string request;  ///< Its id.
+    std::string request;  ///< Request id.
     std::string route;
-    std::string instance;
+    std::string instance;  ///< Incarnation that the request was sent to.
     Fingerprint fingerprint = 0;
-    bool is_trial = false;  ///< The one suspect that may run there.
+    bool is_trial = false;  ///< It is a suspect, and the only one that runs there.
 };
 
-/// Runs of a relay's instance. Those that were cancelled just now count: an instance may go on for a moment with what
-/// its caller has left. So do those whose connection was lost lately: the end of the instance may be told later, by
-/// a node that reads slowly, or by the next instance in its place.
+/// Holds running requests and, for a short time, ended ones that may still cause a crash: an instance may go on with a
+/// cancelled request, and a crash that broke a connection may be detected only when the next incarnation reports.
 class RunTracker {
 public:
     using RunId = std::uint64_t;
@@ -41,22 +40,24 @@
     RunTracker(Clock& clock, EventLog& log, Quarantine& quarantine)
         : clock_(clock), log_(log), quarantine_(quarantine) {}
 
+    /// @param id unique among the runs tracked.
     void onSent(RunId id, Run run) { runs_[id] = std::move(run); }
-    /// Answered, or known not to have been sent.
+    /// The run is over, or was not sent. Does nothing after `onCancelled` or `onConnectionLost`.
     void onEnded(RunId id) { runs_.erase(id); }
+    /// The caller has cancelled the request.
     void onCancelled(RunId id);
-    /// Its connection has broken.
+    /// The connection broke before the response was complete.
     void onConnectionLost(RunId id);
-    /// Those that go on.
+    /// @return number of requests that run at the instance now.
     [[nodiscard]] std::size_t runningAt(const std::string& instance) const;
-    /// True if an end of this instance would be blamed on any run.
+    /// True if a crash of this instance would be attributed to any run, be it running or recently ended.
     [[nodiscard]] bool hasRuns(const std::string& instance);
-    /// An instance has ended by itself: the one suspect that ran there is to blame, and everything else that ran
-    /// there is suspected from now on.
+    /// Quarantines the trial that ran at the crashed instance and marks all other requests that ran there as suspects.
+    /// Logs `instance_crashed`, and `request_quarantined` if there was a trial.
     CrashNotice attributeCrash(const std::string& instance);
 
 private:
-    /// A run that is over, and until when it counts.
+    /// A run that is over but still counts for a crash of its instance.
     struct EndedRun {
         Run run;
         TimePoint until{};
@@ -64,13 +65,13 @@
     void retain(RunId id, Duration retention);
     void evictStale();
     [[nodiscard]] std::vector<const Run*> runsOf(const std::string& instance) const;
-    void markQuarantined(const Run& run, CrashNotice* notice);
+    void quarantine(const Run& run, CrashNotice* notice);
 
     Clock& clock_;
     EventLog& log_;
     Quarantine& quarantine_;
     std::map<RunId, Run> runs_;
-    std::deque<EndedRun> ended_runs_;  ///< kMostFormer at most; the oldest first.
+    std::deque<EndedRun> ended_runs_;  ///< Oldest first; at most kMaxEndedRuns.
 };
 
 }  // namespace dewcrank::quarantine
--- a/src/quarantine/trial_gate.cc
+++ b/src/quarantine/trial_gate.cc
@@ -16,7 +16,8 @@
     return std::max(Duration::zero(), pauseAfterCrash(conditions) - since);
 }
 
-/// The others are taken to be as full as this relay's instance: requests go where there is most room.
+/// Required time between the last crash and the next trial. Assumes that all instances have the utilization of this
+/// relay's instance, since entries balance by load.
 Duration TrialGate::pauseAfterCrash(const TrialConditions& now) const {
     const auto up = now.replicas.up;
     const bool is_only_one = up + now.replicas.away <= 1;
--- a/src/quarantine/trial_gate.h
+++ b/src/quarantine/trial_gate.h
@@ -1,17 +1,15 @@
 /// @file
-/// When a suspect may run at a relay's instance.
+/// Limits where and when suspects may run, so that enough instances stay up if suspects crash theirs. A trial is a run
+/// of a suspect.
 ///
-/// A suspect may end the instance that runs it, and a request that nobody has seen before may end another one at the
-/// same moment. So suspects run only where enough instances are left if they end those that run them: tried at
-/// once at the next instance, two requests that come together take all three of a small service, and everyone else
-/// is refused until the first of them is back.
+///   instances up        where a trial may run     when
+///   4 or more           all relays but two        at once
+///   2 or 3              one relay                 `settle_time` after the last crash
+///   2 or 3, no spare    one relay                 `max_restart_time` after the last crash
+///   1 of several        that relay                `max_restart_time` after the last crash
+///   1 of 1              that relay                at once: no other instance could run it
 ///
-///   four up or more     at all relays but two of them, at once
-///   two or three up     at one relay, once the last end has settled
-///   the same, full      once what has ended is back, or has been away for so long that it counts as lost: one less
-///                       could not do what is asked for
-///   one up of several   the same
-///   the only one        at once: nobody else could run it, and until it has ended another life nobody is to blame
+/// "No spare": the remaining instances could not serve the load if one more crashed.
 #pragma once
 
 #include <functional>
@@ -26,34 +24,31 @@
 
 /// Constants of the gate.
 struct TrialGateKnobs {
-    /// Instances that are to be up while suspects run elsewhere.
-    std::size_t min_up = 2;
-    /// From an end of an instance until the directory has it, and another end that came right behind it: a run of 70 to
-    /// 80 ms, its end found by a probe of 150 ms at most.
-    Duration settle_time = 250ms;
-    /// An instance that has ended is back within this, as a rule: its start, and its first heartbeat.
-    Duration max_restart_time = 5s;
+    std::size_t min_up = 2;          ///< Instances that run no trial, so that they stay up.
+    Duration settle_time = 250ms;    ///< Time for the directory to show a crash, and one that follows right after it.
+    Duration max_restart_time = 5s;  ///< A crashed instance that is not back by then counts as lost.
 };
 
-/// What a trial depends on.
+/// Input of the decision.
 struct TrialConditions {
     fleet::Replicas replicas;
-    double utilization = 0;  ///< What runs and waits at this relay's instance, by its slots.
+    double utilization = 0;  ///< Running and waiting requests of this relay's instance, divided by its slots.
 };
 
-/// Of one relay. Without messages of its own: it goes by the directory, in which all relays find the same ones up.
+/// Decides for one relay when a suspect may run as a trial. Exchanges no messages: relays agree because their
+/// directories list the same instances as up.
 class TrialGate {
 public:
     using ConditionsSource = std::function<TrialConditions()>;
 
     TrialGate(Clock& clock, TrialGateKnobs knobs) : clock_(clock), knobs_(knobs) {}
 
-    /// @param view asked for each decision. Without one the instance is the only one of its service.
+    /// @param source called for each decision. Without a source the instance counts as the only one of its service.
     void setConditionsSource(ConditionsSource source) { source_ = std::move(source); }
-    /// An instance of the service has ended by itself, here or elsewhere.
+    /// Call when an instance of the service has crashed, at this relay or another.
     void onInstanceCrashed() { last_crash_ = clock_.now(); }
     [[nodiscard]] TrialConditions conditions() const { return source_(); }
-    /// @return how long a suspect has to wait before it may run here; nothing if it is another relay's to run.
+    /// @return time until a suspect may run here, zero if at once; nothing if this relay may run no trials.
     [[nodiscard]] std::optional<Duration> wait() const;
 
 private:
--- a/tests/unit/entry/access_check_test.cc
+++ b/tests/unit/entry/access_check_test.cc
@@ -76,12 +76,12 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(who_is_let_in_and_who_is_not) {
+BOOST_AUTO_TEST_CASE(which_requests_are_admitted) {
     struct Case {
         const char* route;
         std::optional<std::string_view> key;
-        Duration age;  ///< Of the table.
-        int status;    ///< 0: let in.
+        Duration age;  ///< Of the route table.
+        int status;    ///< 0: admitted.
         const char* tenant;
     };
     const Case cases[] = {
@@ -109,7 +109,7 @@
     BOOST_TEST(check("closed", "k3").rejection->status == 401);
 }
 
-BOOST_AUTO_TEST_CASE(without_tenants_nobody_is_asked_for_a_key) {
+BOOST_AUTO_TEST_CASE(without_tenants_no_key_is_required) {
     wire::RouteTable open;
     open.set_version(9);
     open.add_routes()->set_name("closed");
--- a/tests/unit/quarantine/exchange_test.cc
+++ b/tests/unit/quarantine/exchange_test.cc
@@ -26,7 +26,7 @@
     return record;
 }
 
-/// Delivers to the exchange at an address, unless that is cut off.
+/// Delivers requests to the exchange at an address. Requests to `unreachable` time out.
 class Wire : public BackEndPort {
 public:
     explicit Wire(Clock& clock) : clock_(clock) {}
@@ -55,7 +55,7 @@
     Clock& clock_;
 };
 
-/// One relay and what it needs.
+/// A relay with its dependencies.
 struct Relay {
     Relay(tests::VirtualTime& time, Wire& wire, const std::string& relay_name)
         : name(relay_name),
@@ -92,7 +92,7 @@
             }
         }
     }
-    /// What ran when the first relay's instance ended.
+    /// The first relay reports a crash with kOne as the trial and kTwo as a suspect.
     void reportCrash() {
         relays[0]->quarantine.markQuarantined(kOne);
         relays[0]->quarantine.markSuspect(kTwo);
@@ -108,7 +108,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(unit_quarantine_exchange, ExchangeFixture)
 
-BOOST_AUTO_TEST_CASE(every_relay_of_the_service_is_told_at_once_and_nothing_is_sent_without_news) {
+BOOST_AUTO_TEST_CASE(a_crash_is_broadcast_at_once_and_nothing_is_sent_without_records) {
     time.advance(10s);
     BOOST_TEST(wire.sent == 0);
     reportCrash();
@@ -119,7 +119,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_relay_that_was_cut_off_has_it_soon_after) {
+BOOST_AUTO_TEST_CASE(a_relay_that_was_unreachable_gets_records_by_gossip) {
     wire.unreachable = "n5";
     reportCrash();
     time.advance(5s);
@@ -129,7 +129,7 @@
     BOOST_TEST((relays[5]->quarantine.state(kOne) == QuarantineState::kQuarantined));
 }
 
-BOOST_AUTO_TEST_CASE(a_relay_that_starts_anew_asks_for_suspects_as_well) {
+BOOST_AUTO_TEST_CASE(a_restarted_relay_requests_suspects_as_well) {
     reportCrash();
     time.advance(2ms);
     relays[5] = std::make_unique<Relay>(time, wire, "n5");
@@ -139,8 +139,8 @@
     BOOST_TEST((relays[5]->quarantine.state(kTwo) == QuarantineState::kSuspect));
 }
 
-/// One relay that has seen it end well clears it at the one that has told.
-BOOST_AUTO_TEST_CASE(a_good_end_elsewhere_clears_it_everywhere) {
+/// A relay where the request completed must clear it at the relay that reported the crash.
+BOOST_AUTO_TEST_CASE(a_completion_at_one_relay_clears_the_request_at_all) {
     relays[3]->quarantine.onCompleted(kOne);
     relays[3]->quarantine.onCompleted(kTwo);
     reportCrash();
@@ -152,7 +152,7 @@
     BOOST_TEST((relays[3]->quarantine.state(kTwo) == QuarantineState::kClear));
 }
 
-BOOST_AUTO_TEST_CASE(what_cannot_be_read_is_refused_with_a_line) {
+BOOST_AUTO_TEST_CASE(a_malformed_message_is_rejected_and_logged) {
     HttpRequest request;
     request.body = "\xff\xff\xff";
     BOOST_TEST(relays[0]->exchange.handle(request).status == 400);
--- a/tests/unit/quarantine/fingerprint_test.cc
+++ b/tests/unit/quarantine/fingerprint_test.cc
@@ -23,7 +23,7 @@
 
 BOOST_AUTO_TEST_SUITE(unit_quarantine_fingerprint)
 
-BOOST_AUTO_TEST_CASE(another_try_has_the_same_and_another_request_does_not) {
+BOOST_AUTO_TEST_CASE(retries_share_a_fingerprint_and_other_requests_do_not) {
     auto request = requestOf("POST", "a.example", "/sign/1?x=2", "body");
     const auto first = fingerprintOf(request);
     request.headers.set("X-Id", "another");
--- a/tests/unit/quarantine/trial_gate_test.cc
+++ b/tests/unit/quarantine/trial_gate_test.cc
@@ -15,7 +15,7 @@
         time.advance(10s);
         gate.setConditionsSource([this] { return now; });
     }
-    /// @return how long a suspect waits right after an end; nothing if it is another relay's.
+    /// @return how long a suspect waits right after a crash; nothing if this relay may run no trials.
     std::optional<Duration> waitAfterCrash(const fleet::Replicas& replicas, double utilization = 0.1) {
         now = {replicas, utilization};
         gate.onInstanceCrashed();
@@ -36,7 +36,7 @@
     BOOST_TEST((waitAfterCrash({1, 0, 0}) == Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(the_last_one_that_is_up_runs_none_until_the_others_count_as_lost) {
+BOOST_AUTO_TEST_CASE(the_last_instance_up_runs_no_suspect_until_the_others_count_as_lost) {
     BOOST_TEST((waitAfterCrash({1, 2, 0}) == knobs.max_restart_time));
     time.advance(1s);
     BOOST_TEST((*gate.wait() == knobs.max_restart_time - 1s));
@@ -44,7 +44,7 @@
     BOOST_TEST((gate.wait() == Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(two_that_are_up_wait_until_the_last_end_has_settled) {
+BOOST_AUTO_TEST_CASE(two_instances_wait_for_the_settle_time_after_a_crash) {
     BOOST_TEST((waitAfterCrash({2, 1, 0}) == knobs.settle_time));
     time.advance(knobs.settle_time);
     BOOST_TEST((gate.wait() == Duration::zero()));
@@ -57,8 +57,8 @@
     BOOST_TEST((waitAfterCrash({3, 0, 0}) == knobs.settle_time));
 }
 
-/// The two that are left could not do what is asked of three.
-BOOST_AUTO_TEST_CASE(where_none_can_be_spared_suspects_wait_for_the_one_that_ended) {
+/// A crash must not leave two instances with the load of three.
+BOOST_AUTO_TEST_CASE(without_spare_capacity_suspects_wait_for_the_crashed_instance) {
     BOOST_TEST((waitAfterCrash({3, 0, 0}, 0.6) == knobs.settle_time));
     BOOST_TEST((waitAfterCrash({3, 0, 0}, 0.7) == knobs.max_restart_time));
     BOOST_TEST((waitAfterCrash({2, 1, 0}, 0.6) == knobs.max_restart_time));
@@ -71,7 +71,7 @@
     BOOST_TEST(!waitAfterCrash({300, 3, 299}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(without_an_end_nobody_waits) {
+BOOST_AUTO_TEST_CASE(without_a_crash_suspects_run_at_once) {
     now = {{2, 0, 0}, 0.9};
     BOOST_TEST((gate.wait() == Duration::zero()));
 }
