--- a/src/entry/entry_call.h
+++ b/src/entry/entry_call.h
@@ -71,7 +71,7 @@
     EntryKnobs knobs;
     /// Called with each result that holds a relay's load.
     std::function<void(const EntryPlan&, const std::string& relay, const relay::RelayResult&)> on_relay_result;
-    /// True if the admission ratio of the service, or of a service that it calls, is below 1.
+    /// True if the service, or a service that it calls, counts as overloaded by its admission ratio.
     std::function<bool(const EntryPlan&)> is_overloaded;
     Weakening weakening;  ///< Tests only.
 };
@@ -112,6 +112,7 @@
     EntryCall(const EntryCall&) = delete;
     EntryCall& operator=(const EntryCall&) = delete;
 
+    /// Sends the first attempt. The call fails at the deadline of its plan.
     void start();
     /// Responds with 503 for overload instead of starting the call.
     void reject(const char* reason);
@@ -164,7 +165,7 @@
     bool has_waited_for_instance_ = false;
     bool may_have_run_ = false;
     std::optional<HttpAnswer> failure_response_;  ///< An instance's 500; sent to the caller if no retry succeeds.
-    bool is_overload_ = false;  ///< Last rejected for lack of capacity, or as a suspect without a slot.
+    bool is_overload_ = false;  ///< Last rejected for lack of capacity, or as a suspect that may not run yet.
     bool is_suspect_ = false;   ///< An instance crashed while it ran the request.
     bool is_quarantined_ = false;
 };
--- a/src/entry/relay_selector.h
+++ b/src/entry/relay_selector.h
@@ -16,8 +16,8 @@
 
 /// Constants of the cost of a relay: its utilization (running and waiting requests per slot) plus these terms.
 struct SelectorKnobs {
-    double other_zone_cost = 0.6;  ///< Falls to zero as the utilization rises from 0.5 to 1.
-    double cold_cost = 0.3;
+    double other_zone_cost = 0.6;   ///< Falls to zero as the utilization rises from 0.5 to 1.
+    double cold_cost = 0.3;         ///< Added for a cold instance.
     double cold_factor = 2.0;       ///< Multiplies the utilization of a cold instance, which is slower.
     double max_random_cost = 0.05;  ///< Uniform from zero to this; keeps entries from choosing the same relay.
     double suspected_cost = 100;    ///< Such a relay is chosen only if there is no other.
@@ -61,13 +61,14 @@
     [[nodiscard]] std::size_t relayCount(const std::string& service) const;
 
 private:
+    /// Load and failures of one relay.
     struct RelayStats {
         explicit RelayStats(Duration failure_decay) : failures(failure_decay) {}
         relay::QueueLoad load;
         TimePoint reported_at{};
-        int in_flight = 0;
-        int in_flight_at_report = 0;
-        DecayingMean failures;  ///< 1 for each call that failed, 0 for each other.
+        int in_flight = 0;            ///< Attempts sent by this node that have not ended.
+        int in_flight_at_report = 0;  ///< `in_flight` at `reported_at`.
+        DecayingMean failures;        ///< 1 for each call that failed, 0 for each other.
     };
     [[nodiscard]] static bool serves(const wire::NodeRecord& record, const std::string& service);
     [[nodiscard]] static bool serves(const fleet::KnownNode& node, const std::string& service) {
@@ -77,7 +78,7 @@
     /// A relay that may be chosen, from the directory.
     struct Candidate {
         const wire::NodeRecord& record;
-        std::size_t number;
+        std::size_t number;  ///< Of its node in the directory.
         Duration cold_left;
         bool is_suspected;
     };
