--- a/src/relay/relay_service.cc
+++ b/src/relay/relay_service.cc
@@ -37,7 +37,7 @@
     if (knobs_.disabled.suspect_trial_gate) {
         return;
     }
-    trials_.gate().setView([this, view] {
+    trials_.gate().setConditionsSource([this, view] {
         const auto load = queue_.load();
         const double slots = std::max<std::uint32_t>(1, load.limit);
         const double busy = std::max<double>(load.running + load.waiting, serviceLoad().busy);
@@ -65,7 +65,7 @@
         const bool is_current = instance_.record().id() == request.instance;
         return is_current ? RelayReason::kDraining : RelayReason::kOtherInstance;
     }
-    if (quarantine_.standing(call.fingerprint) == quarantine::Standing::kQuarantined) {
+    if (quarantine_.state(call.fingerprint) == quarantine::QuarantineState::kQuarantined) {
         return RelayReason::kQuarantined;
     }
     const bool may_retry = knobs_.disabled.retry_budget_check || retries_.mayRetry(request);
@@ -80,16 +80,16 @@
     call.fingerprint = quarantine::fingerprintOf(call.request.request);
     call.callback = std::move(callback);
     call.request.deadline = std::min(call.request.deadline, stop_deadline_.value_or(TimePoint::max()));
-    if (call.request.is_suspect && quarantine_.standing(call.fingerprint) == quarantine::Standing::kClear) {
-        quarantine_.suspect(call.fingerprint);
-        trials_.gate().onInstanceEnded();  // The request arrived before the notice of the crash.
+    if (call.request.is_suspect && quarantine_.state(call.fingerprint) == quarantine::QuarantineState::kClear) {
+        quarantine_.markSuspect(call.fingerprint);
+        trials_.gate().onInstanceCrashed();  // The request arrived before the notice of the crash.
     }
     if (const auto reason = rejectionReason(call); reason != RelayReason::kNone) {
         rejectLater(id, reason);
         return id;
     }
     retries_.count(call.request);
-    const bool is_suspect = quarantine_.standing(call.fingerprint) == quarantine::Standing::kSuspect;
+    const bool is_suspect = quarantine_.state(call.fingerprint) == quarantine::QuarantineState::kSuspect;
     is_suspect ? enterTrials(id) : enterQueue(id);
     return id;
 }
@@ -113,7 +113,7 @@
         return;
     }
     call.is_trial = true;
-    if (quarantine_.standing(call.fingerprint) == quarantine::Standing::kQuarantined) {
+    if (quarantine_.state(call.fingerprint) == quarantine::QuarantineState::kQuarantined) {
         rejectLater(id, RelayReason::kQuarantined);
     } else if (!accepts(call.request.instance)) {
         rejectLater(id, RelayReason::kDraining);
@@ -127,11 +127,11 @@
     const auto conditions = trials_.gate().conditions();
     log_.write(Event("trial_put_off")
                    .with("request", call.request_id)
-                   .with("fingerprint", quarantine::textOf(call.fingerprint))
+                   .with("fingerprint", quarantine::fingerprintText(call.fingerprint))
                    .with("up", conditions.replicas.up)
                    .with("away", conditions.replicas.unavailable)
                    .with("place", conditions.replicas.position)
-                   .with("use", conditions.use));
+                   .with("use", conditions.utilization));
 }
 
 /// Requests are admitted in order of the time until which they can wait, delayed by priority. Internal calls of call
@@ -245,7 +245,7 @@
     }
     for (auto& it : lost_attempts) {
         if (const auto found = calls_.find(it.id); found != calls_.end()) {
-            runs_.onLost(it.id);
+            runs_.onConnectionLost(it.id);
             finish(it.id, resultOf(*found->second, std::move(it.result)));
         }
     }
@@ -259,7 +259,7 @@
     if (incarnation != incarnation_) {
         const auto previous = std::exchange(incarnation_, incarnation);
         const auto previous_start_ms = std::exchange(start_ms_, record.born_ms());
-        if (!is_leaving_ && runs_.holdsAny(previous)) {
+        if (!is_leaving_ && runs_.hasRuns(previous)) {
             onCrash(previous);
         }
         if (previous_start_ms > 0 && record.born_ms() > previous_start_ms) {
@@ -278,8 +278,8 @@
         return;
     }
     crashed_incarnation_ = incarnation;
-    trials_.gate().onInstanceEnded();
-    signal_crashed_.emit(runs_.blame(incarnation));
+    trials_.gate().onInstanceCrashed();
+    signal_crashed_.emit(runs_.attributeCrash(incarnation));
     if (instance::incarnationName(instance_.record()) == incarnation) {
         instance_.onUnreachable();
     }
@@ -316,7 +316,7 @@
     relayed.reason = relayed.was_sent ? RelayReason::kNoCompleteResponse : RelayReason::kNotConnected;
     if (relayed.was_sent && call.incarnation == crashed_incarnation_) {
         // Reports the quarantine to the entry, which could retry at a relay that has not received the notice yet.
-        const bool is_quarantined = quarantine_.standing(call.fingerprint) == quarantine::Standing::kQuarantined;
+        const bool is_quarantined = quarantine_.state(call.fingerprint) == quarantine::QuarantineState::kQuarantined;
         relayed.reason = is_quarantined ? RelayReason::kQuarantined : RelayReason::kInstanceCrashed;
     }
     if (!relayed.was_sent) {
@@ -329,7 +329,7 @@
                    .with("reason", result.reason)
                    .with("sent", relayed.was_sent ? "yes" : "no")
                    .with("route", call.request.route)
-                   .with("fingerprint", quarantine::textOf(call.fingerprint)));
+                   .with("fingerprint", quarantine::fingerprintText(call.fingerprint)));
     return relayed;
 }
 
@@ -377,7 +377,7 @@
     onRunEnded(call, is_answered && isSuccess(result.response.status));
     const auto time = is_answered ? clock_.now() - call.sent_at : Duration::zero();
     if (is_answered) {
-        quarantine_.onEndedWell(call.fingerprint);
+        quarantine_.onCompleted(call.fingerprint);
         demand_.onAnswered(call.request.route, time);
     }
     leaveQueues(id, call, time);
--- a/src/relay/relay_service.h
+++ b/src/relay/relay_service.h
@@ -24,7 +24,7 @@
 #include "src/ports/event_log.h"
 #include "src/ports/http_transport.h"
 #include "src/quarantine/quarantine.h"
-#include "src/quarantine/run_ledger.h"
+#include "src/quarantine/run_tracker.h"
 #include "src/relay/crash_detector.h"
 #include "src/relay/instance_queue.h"
 #include "src/relay/internal_route_detector.h"
@@ -83,7 +83,7 @@
     /// @param view returns the current instances of the service; decides with them whether suspects may run here.
     void setReplicaView(const std::function<fleet::Replicas()>& view);
     /// An instance of the service at another node has crashed.
-    void onRemoteCrash() { trials_.gate().onInstanceEnded(); }
+    void onRemoteCrash() { trials_.gate().onInstanceCrashed(); }
     /// @param count of relays that accept requests of the service.
     void setRelayCount(std::size_t count) { retries_.setRelayCount(count); }
     /// Calls that are queued or running.
@@ -157,7 +157,7 @@
     InstanceQueue queue_;
     SuspectTrials trials_;
     CrashDetector crash_detector_;
-    quarantine::RunLedger runs_;
+    quarantine::RunTracker runs_;
     std::vector<LostAttempt> lost_attempts_;  ///< Until the crash detector has decided.
     std::string incarnation_;                 ///< Name of the current incarnation.
     std::uint64_t start_ms_ = 0;              ///< Start time of the current incarnation; 0 if unknown.
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -113,7 +113,7 @@
 private:
     [[nodiscard]] static wire::NodeRecord initialRecord(const Settings& settings);
     void onIntake(CallId call_id, HttpRequest request, entry::CallIntake::Outcome outcome, const ReplyCallback& reply);
-    void reject(const HttpRequest& request, const entry::TurnedAway& rejected, const ReplyCallback& reply);
+    void reject(const HttpRequest& request, const entry::Rejected& rejected, const ReplyCallback& reply);
     void beginCall(CallId call_id, HttpRequest request, const entry::Admitted& admitted, const ReplyCallback& reply);
     entry::EntryPlan makePlan(HttpRequest request, const entry::Admitted& admitted);
     std::string selectService(const wire::Route& route);
@@ -126,7 +126,7 @@
     void logRelayed(const std::string& request_id, const relay::RelayResult& result);
     void publishSelf();
     void setProbePath();
-    void onNodeSilent(const std::string& name);
+    void onNodeUnresponsive(const std::string& name);
     void onDrained();
     void checkStopped();
 
--- a/tests/unit/relay/relay_crash_test.cc
+++ b/tests/unit/relay/relay_crash_test.cc
@@ -147,8 +147,8 @@
 BOOST_AUTO_TEST_CASE(suspects_wait_until_an_instance_can_be_spared) {
     fleet::Replicas replicas{2, 1, 0};
     relay.setReplicaView([&replicas] { return replicas; });
-    quarantine.suspect(fingerprint("/a"));
-    quarantine.suspect(fingerprint("/b"));
+    quarantine.markSuspect(fingerprint("/a"));
+    quarantine.markSuspect(fingerprint("/b"));
     relay.onRemoteCrash();
     start("/a");
     start("/b");
@@ -167,7 +167,7 @@
 
 /// Guards against a retry by the entry before all relays have received the notice of the quarantine.
 BOOST_AUTO_TEST_CASE(a_request_that_its_own_run_quarantines_is_reported_as_quarantined) {
-    quarantine.suspect(fingerprint("/a"));
+    quarantine.markSuspect(fingerprint("/a"));
     start("/a");
     loseAllConnections();
     BOOST_REQUIRE(notices.size() == 1U);
