--- a/src/adapters/bounded_log.h
+++ b/src/adapters/bounded_log.h
@@ -12,7 +12,7 @@
 namespace dewcrank::adapters {
 
 /// Lines a second that are let through.
-struct LogBounds {
+struct LogRateLimits {
     std::uint32_t routine_lines = 100;  ///< Of events that say that all went well.
     std::uint32_t other_lines = 400;    ///< Of all others: failures, refusals, changes of belief.
 };
@@ -22,26 +22,26 @@
 /// a line of its own in the next second.
 class BoundedLog : public EventLog {
 public:
-    BoundedLog(Clock& clock, EventLog& log, std::set<std::string, std::less<>> routine_events, LogBounds bounds);
+    BoundedLog(Clock& clock, EventLog& log, std::set<std::string, std::less<>> routine_events, LogRateLimits limits);
     void write(const Event& event) override;
     [[nodiscard]] bool takes(std::string_view name) override;
 
 private:
     /// What has been let through of one kind of events in the present second.
-    struct Use {
+    struct Quota {
         std::uint32_t lines = 0;
-        std::uint32_t bound = 0;
+        std::uint32_t limit = 0;
     };
-    Use& useOf(std::string_view name);
-    void beginSecond();
+    Quota& quotaOf(std::string_view name);
+    void startNewSecond();
 
     Clock& clock_;
     EventLog& log_;
     std::set<std::string, std::less<>> routine_events_;
-    TimePoint second_{};
-    Use routine_;
-    Use other_;
-    std::uint32_t left_out_ = 0;
+    TimePoint second_start_{};
+    Quota routine_;
+    Quota other_;
+    std::uint32_t dropped_ = 0;
 };
 
 }  // namespace dewcrank::adapters
--- a/src/adapters/client_connection.cc
+++ b/src/adapters/client_connection.cc
@@ -18,16 +18,16 @@
 constexpr std::string_view kIdleTimeoutKey = "timeout=";
 
 /// The idle time that a peer tells, less a margin; `otherwise` if it tells none.
-Duration idleTimeOf(const Headers& headers, Duration otherwise) {
+Duration peerIdleTime(const Headers& headers, Duration default_time) {
     const auto value = headers.get("keep-alive");
     const auto found = value.find(kIdleTimeoutKey);
     if (found == std::string_view::npos) {
-        return otherwise;
+        return default_time;
     }
     const auto digits = value.substr(found + kIdleTimeoutKey.size());
     int seconds = 0;
     std::from_chars(digits.data(), digits.data() + digits.size(), seconds);
-    return std::clamp<Duration>(std::chrono::seconds(seconds) - kIdleMargin, Duration::zero(), otherwise);
+    return std::clamp<Duration>(std::chrono::seconds(seconds) - kIdleMargin, Duration::zero(), default_time);
 }
 
 }  // namespace
@@ -36,7 +36,7 @@
     : client_(client),
       address_(std::move(address)),
       stream_(client.loop_, *this),
-      parser_(HttpMessageParser::Kind::kAnswer, client.limits_) {
+      parser_(HttpMessageParser::Kind::kResponse, client.limits_) {
     ++client_.open_connections_;
 }
 
@@ -52,14 +52,14 @@
         return false;
     }
     address.sin_port = htons(target->port);
-    ++client_.connections_begun_;
+    ++client_.total_connections_;
     return stream_.connect(reinterpret_cast<sockaddr*>(&address), sizeof address);
 }
 
 void ClientConnection::write(const HttpRequest& request) {
     expects_no_body_ = request.method == "HEAD";
     parser_.reset(expects_no_body_);
-    keeps_alive_ = false;
+    keep_alive_ = false;
     expected_echo_ = request.headers.get(client_.options_.echoed_header);
     const bool has_body = !request.body.empty() || (request.method != "GET" && request.method != "HEAD");
     const auto size = has_body ? static_cast<long long>(request.body.size()) : -1;
@@ -69,7 +69,7 @@
 }
 
 bool ClientConnection::isReusable() const {
-    return keeps_alive_ && !is_broken_ && !has_strays_ && stream_.unwritten() == 0;
+    return keep_alive_ && !has_failed_ && !has_unexpected_data_ && stream_.unsentBytes() == 0;
 }
 
 void ClientConnection::onConnected() {
@@ -79,66 +79,66 @@
     }
 }
 
-void ClientConnection::onEnded(StreamEnd end) {
-    const bool is_clean_end = end == StreamEnd::kClosed;
-    if (is_clean_end && listener_ != nullptr && client_.options_.accepts_close_delimited &&
+void ClientConnection::onClosed(CloseReason reason) {
+    const bool is_end_of_stream = reason == CloseReason::kEndOfStream;
+    if (is_end_of_stream && listener_ != nullptr && client_.options_.accepts_close_delimited &&
         parser_.endsWithConnection() && parser_.finish() == HttpMessageParser::State::kComplete) {
-        is_broken_ = true;
-        complete();
+        has_failed_ = true;
+        completeResponse();
         return;
     }
-    broken(std::string(is_clean_end ? kConnectionClosed : kConnectionReset));
+    fail(std::string(is_end_of_stream ? kConnectionClosed : kConnectionReset));
 }
 
 /// Bytes behind an answer are not taken: they make the connection useless.
 std::size_t ClientConnection::onBytes(std::string_view bytes) {
     if (listener_ == nullptr) {
-        broken("unexpected-bytes");
+        fail("unexpected-bytes");
         return bytes.size();
     }
-    std::size_t taken = 0;
-    while (taken < bytes.size() && listener_ != nullptr) {
-        std::size_t consumed = 0;
-        const auto state = parser_.feed(bytes.data() + taken, bytes.size() - taken, &consumed);
-        taken += consumed;
+    std::size_t consumed = 0;
+    while (consumed < bytes.size() && listener_ != nullptr) {
+        std::size_t count = 0;
+        const auto state = parser_.feed(bytes.data() + consumed, bytes.size() - consumed, &count);
+        consumed += count;
         if (state == HttpMessageParser::State::kComplete) {
-            has_strays_ = has_strays_ || taken < bytes.size();
-            complete();
+            has_unexpected_data_ = has_unexpected_data_ || consumed < bytes.size();
+            completeResponse();
         } else if (state != HttpMessageParser::State::kIncomplete) {
-            broken(state == HttpMessageParser::State::kTooLarge ? "answer-too-large" : "malformed-answer");
+            fail(state == HttpMessageParser::State::kTooLarge ? "answer-too-large" : "malformed-answer");
         }
     }
-    return taken;
+    return consumed;
 }
 
-bool ClientConnection::isStray(const HttpAnswer& answer) const {
-    const auto echo = answer.headers.get(client_.options_.echoed_header);
+bool ClientConnection::belongsToEarlierRequest(const HttpAnswer& response) const {
+    const auto echo = response.headers.get(client_.options_.echoed_header);
     return !expected_echo_.empty() && !echo.empty() && echo != expected_echo_;
 }
 
 /// The listener may have dropped this connection afterwards, which is then freed by the loop.
-void ClientConnection::complete() {
-    keeps_alive_ = parser_.keepsAlive() && !parser_.endsWithConnection();
-    auto answer = parser_.takeAnswer();
-    if (isStray(answer)) {
-        has_strays_ = true;
+void ClientConnection::completeResponse() {
+    keep_alive_ = parser_.shouldKeepAlive() && !parser_.endsWithConnection();
+    auto response = parser_.takeResponse();
+    if (belongsToEarlierRequest(response)) {
+        has_unexpected_data_ = true;
         parser_.reset(expects_no_body_);
-        if (is_broken_) {
-            broken(std::string(kConnectionClosed));
+        if (has_failed_) {
+            fail(std::string(kConnectionClosed));
         }
         return;
     }
-    longest_idle_ = idleTimeOf(answer.headers, client_.options_.longest_idle);
-    std::exchange(listener_, nullptr)->onAnswer(std::move(answer));
+    max_idle_time_ = peerIdleTime(response.headers, client_.options_.longest_idle);
+    std::exchange(listener_, nullptr)->onResponse(std::move(response));
 }
 
 /// The listener, or the client, may destroy this connection.
-void ClientConnection::broken(const std::string& reason) {
-    is_broken_ = true;
+void ClientConnection::fail(const std::string& reason) {
+    has_failed_ = true;
     if (auto* listener = std::exchange(listener_, nullptr)) {
-        listener->onBroken(reason);
+        listener->onFailed(reason);
     } else {
-        client_.onIdleEnded(this);
+        client_.onIdleClosed(this);
     }
 }
 
--- a/src/adapters/client_connection.h
+++ b/src/adapters/client_connection.h
@@ -18,9 +18,9 @@
     public:
         virtual ~Listener() = default;
         virtual void onConnected() = 0;
-        virtual void onAnswer(HttpAnswer answer) = 0;
+        virtual void onResponse(HttpAnswer response) = 0;
         /// The connection has ended or is of no more use.
-        virtual void onBroken(const std::string& reason) = 0;
+        virtual void onFailed(const std::string& reason) = 0;
     };
 
     ClientConnection(HttpClient& client, std::string address);
@@ -38,15 +38,15 @@
     /// True if another request may be sent, now that the answer is here.
     [[nodiscard]] bool isReusable() const;
     void markIdle(TimePoint now) { idle_since_ = now; }
-    [[nodiscard]] bool isFresh(TimePoint now) const { return now - idle_since_ < longest_idle_; }
+    [[nodiscard]] bool isWithinIdleTime(TimePoint now) const { return now - idle_since_ < max_idle_time_; }
 
 private:
     void onConnected() override;
     std::size_t onBytes(std::string_view bytes) override;
-    void onEnded(StreamEnd end) override;
-    void complete();
-    [[nodiscard]] bool isStray(const HttpAnswer& answer) const;
-    void broken(const std::string& reason);
+    void onClosed(CloseReason reason) override;
+    void completeResponse();
+    [[nodiscard]] bool belongsToEarlierRequest(const HttpAnswer& response) const;
+    void fail(const std::string& reason);
 
     HttpClient& client_;
     std::string address_;
@@ -54,13 +54,13 @@
     HttpMessageParser parser_;
     Listener* listener_ = nullptr;
     bool is_connected_ = false;
-    bool is_broken_ = false;
-    bool keeps_alive_ = false;
-    bool has_strays_ = false;  ///< Answers that belong to no open request have come.
+    bool has_failed_ = false;
+    bool keep_alive_ = false;
+    bool has_unexpected_data_ = false;  ///< Answers that belong to no open request have come.
     bool expects_no_body_ = false;
     std::string expected_echo_;
     TimePoint idle_since_{};
-    Duration longest_idle_{};
+    Duration max_idle_time_{};
 };
 
 }  // namespace dewcrank::adapters
--- a/src/adapters/event_loop.cc
+++ b/src/adapters/event_loop.cc
@@ -19,18 +19,18 @@
 namespace {
 
 /// Suspensions last for seconds; less than this is the time between two readings of a clock.
-constexpr Duration kLeastSuspension = 20ms;
+constexpr Duration kMinSuspension = 20ms;
 
 TimePoint readClock(clockid_t clock) {
     timespec time{};
     clock_gettime(clock, &time);
-    const auto whole = std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
-    return TimePoint(std::chrono::duration_cast<Duration>(whole));
+    const auto time_since_epoch = std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
+    return TimePoint(std::chrono::duration_cast<Duration>(time_since_epoch));
 }
 
 }  // namespace
 
-const LoopClocks kMachineClocks{[] { return readClock(CLOCK_BOOTTIME); }, [] { return readClock(CLOCK_MONOTONIC); }};
+const LoopClocks kSystemClocks{[] { return readClock(CLOCK_BOOTTIME); }, [] { return readClock(CLOCK_MONOTONIC); }};
 
 /// Stands in its loop's list while it is set.
 class EventLoop::LoopTimer : public Timer {
@@ -53,7 +53,7 @@
     LoopTimer(const LoopTimer&) = delete;
     LoopTimer& operator=(const LoopTimer&) = delete;
 
-    void set(TimePoint now) {
+    void arm(TimePoint now) {
         const auto value = toTimeval(due_ - now);
         evtimer_add(event_, &value);
     }
@@ -87,21 +87,21 @@
     bool is_linked_ = true;
 };
 
-struct EventLoop::SignalWatch {
+struct EventLoop::SignalHandler {
     std::function<void()> callback;
     event* handle = nullptr;
-    SignalWatch() = default;
-    ~SignalWatch() {
+    SignalHandler() = default;
+    ~SignalHandler() {
         if (handle != nullptr) {
             event_free(handle);
         }
     }
-    SignalWatch(const SignalWatch&) = delete;
-    SignalWatch& operator=(const SignalWatch&) = delete;
+    SignalHandler(const SignalHandler&) = delete;
+    SignalHandler& operator=(const SignalHandler&) = delete;
 };
 
 EventLoop::EventLoop(const LoopClocks& clocks)
-    : clocks_(clocks), base_(event_base_new()), suspended_(clocks.counts_suspension() - clocks.stands_still()) {
+    : clocks_(clocks), base_(event_base_new()), total_suspended_(clocks.boottime() - clocks.monotonic()) {
     if (base_ == nullptr) {
         throw std::runtime_error("event loop: cannot be created");
     }
@@ -110,47 +110,48 @@
 }
 
 EventLoop::~EventLoop() {
-    signals_.clear();
-    woken_timer_.reset();
+    signal_handlers_.clear();
+    resumed_timer_.reset();
     event_base_free(base_);
 }
 
 /// The clock that goes on is read first: time that passes between the two readings never looks like a suspension.
 TimePoint EventLoop::now() const {
-    const auto now = clocks_.counts_suspension();
-    const auto suspended = now - clocks_.stands_still();
-    if (suspended - suspended_ >= kLeastSuspension) {
-        onWoken(now, suspended);
+    const auto now = clocks_.boottime();
+    const auto suspended = now - clocks_.monotonic();
+    if (suspended - total_suspended_ >= kMinSuspension) {
+        onResumed(now, suspended);
     }
     return now;
 }
 
-void EventLoop::onWoken(TimePoint now, Duration suspended) const {
-    const auto lasted = suspended - std::exchange(suspended_, suspended);
+void EventLoop::onResumed(TimePoint now, Duration suspended) const {
+    const auto lasted = suspended - std::exchange(total_suspended_, suspended);
     for (auto* it = timers_; it != nullptr; it = it->next()) {
-        it->set(now);
+        it->arm(now);
     }
-    woken_timer_ = setTimer(now, [this, lasted] { signal_woken_.emit(lasted); });
+    resumed_timer_ = startTimerAt(now, [this, lasted] { signal_resumed_.emit(lasted); });
 }
 
-TimerHandle EventLoop::setTimer(TimePoint due, std::function<void()> callback) const {
+TimerHandle EventLoop::startTimerAt(TimePoint due, std::function<void()> callback) const {
     auto timer = std::make_unique<LoopTimer>(*this, due, std::move(callback));
-    timer->set(now());
+    timer->arm(now());
     return timer;
 }
 
 TimerHandle EventLoop::startTimer(Duration delay, std::function<void()> callback) {
-    return setTimer(now() + delay, std::move(callback));
+    return startTimerAt(now() + delay, std::move(callback));
 }
 
 void EventLoop::onSignal(int signal_number, std::function<void()> callback) {
-    auto watch = std::make_unique<SignalWatch>();
-    watch->callback = std::move(callback);
-    watch->handle = evsignal_new(
+    auto handler = std::make_unique<SignalHandler>();
+    handler->callback = std::move(callback);
+    handler->handle = evsignal_new(
         base_, signal_number,
-        [](evutil_socket_t, short, void* argument) { static_cast<SignalWatch*>(argument)->callback(); }, watch.get());
-    evsignal_add(watch->handle, nullptr);
-    signals_.push_back(std::move(watch));
+        [](evutil_socket_t, short, void* argument) { static_cast<SignalHandler*>(argument)->callback(); },
+        handler.get());
+    evsignal_add(handler->handle, nullptr);
+    signal_handlers_.push_back(std::move(handler));
 }
 
 void EventLoop::run() {
--- a/src/adapters/event_loop.h
+++ b/src/adapters/event_loop.h
@@ -18,10 +18,10 @@
 
 /// The clocks that a loop goes by; tests give their own.
 struct LoopClocks {
-    TimePoint (*counts_suspension)();  ///< CLOCK_BOOTTIME: goes on while the machine is suspended.
-    TimePoint (*stands_still)();       ///< CLOCK_MONOTONIC: does not, and libevent's timers go by it.
+    TimePoint (*boottime)();   ///< CLOCK_BOOTTIME: goes on while the machine is suspended.
+    TimePoint (*monotonic)();  ///< CLOCK_MONOTONIC: does not, and libevent's timers go by it.
 };
-extern const LoopClocks kMachineClocks;
+extern const LoopClocks kSystemClocks;
 
 /// A libevent loop, and the clock and timers that run on it.
 ///
@@ -30,7 +30,7 @@
 /// what has come in is read before those that are due then fire.
 class EventLoop : public Clock {
 public:
-    explicit EventLoop(const LoopClocks& clocks = kMachineClocks);
+    explicit EventLoop(const LoopClocks& clocks = kSystemClocks);
     ~EventLoop() override;
     EventLoop(const EventLoop&) = delete;
     EventLoop& operator=(const EventLoop&) = delete;
@@ -45,22 +45,22 @@
     void stop();
     [[nodiscard]] event_base* base() const { return base_; }
     /// Emitted from the loop with the time for which the machine was suspended.
-    sigc::signal<void(Duration)>& signalWoken() { return signal_woken_; }
+    sigc::signal<void(Duration)>& signalWoken() { return signal_resumed_; }
 
 private:
-    struct SignalWatch;
+    struct SignalHandler;
     class LoopTimer;
-    [[nodiscard]] TimerHandle setTimer(TimePoint due, std::function<void()> callback) const;
-    void onWoken(TimePoint now, Duration suspended) const;
+    [[nodiscard]] TimerHandle startTimerAt(TimePoint due, std::function<void()> callback) const;
+    void onResumed(TimePoint now, Duration suspended) const;
 
     LoopClocks clocks_;
     event_base* base_;
     // Asking for the time finds out that the machine was suspended, and sets the timers anew.
     mutable LoopTimer* timers_ = nullptr;  ///< All that are set, as a list.
-    mutable Duration suspended_;           ///< Since the machine's start, as last measured.
-    mutable TimerHandle woken_timer_;
-    sigc::signal<void(Duration)> signal_woken_;
-    std::vector<std::unique_ptr<SignalWatch>> signals_;
+    mutable Duration total_suspended_;     ///< Since the machine's start, as last measured.
+    mutable TimerHandle resumed_timer_;
+    sigc::signal<void(Duration)> signal_resumed_;
+    std::vector<std::unique_ptr<SignalHandler>> signal_handlers_;
 };
 
 }  // namespace dewcrank::adapters
--- a/src/adapters/http_client.cc
+++ b/src/adapters/http_client.cc
@@ -12,7 +12,7 @@
 public:
     Exchange(HttpClient& client, HttpRequest request, Callback callback)
         : client_(client), request_(std::move(request)), callback_(std::move(callback)) {}
-    ~Exchange() override { drop(); }
+    ~Exchange() override { releaseConnection(); }
     Exchange(const Exchange&) = delete;
     Exchange& operator=(const Exchange&) = delete;
 
@@ -20,7 +20,7 @@
         timeout_ = timeout;
         connection_ = client_.takeConnection(address);
         if (connection_ == nullptr || !isAllowedMethod(request_.method)) {
-            drop();
+            releaseConnection();
             finishLater({AttemptOutcome::kNotSent, {}, "bad-address-or-method"});
             return;
         }
@@ -30,7 +30,7 @@
             return;
         }
         if (!connection_->connect()) {
-            drop();
+            releaseConnection();
             finishLater({AttemptOutcome::kNotSent, {}, "connect-failed"});
             return;
         }
@@ -46,34 +46,34 @@
         timer_ = client_.loop_.startTimer(timeout_, [this] { onTimeout(); });
     }
 
-    void onAnswer(HttpAnswer answer) override {
+    void onResponse(HttpAnswer response) override {
         auto connection = std::move(connection_);
         if (connection->isReusable()) {
             client_.keepConnection(std::move(connection));
         } else {
-            client_.dropLater(std::move(connection));
+            client_.destroyLater(std::move(connection));
         }
-        finish({AttemptOutcome::kAnswered, std::move(answer), ""});
+        finish({AttemptOutcome::kAnswered, std::move(response), ""});
     }
 
-    void onBroken(const std::string& reason) override {
-        drop();
-        finishLater(withoutAnswer(is_sent_ ? reason : "connect-failed"));
+    void onFailed(const std::string& reason) override {
+        releaseConnection();
+        finishLater(failureResult(is_sent_ ? reason : "connect-failed"));
     }
 
     void onTimeout() {
-        drop();
-        finish(withoutAnswer(std::string(kTimedOut)));
+        releaseConnection();
+        finish(failureResult(std::string(kTimedOut)));
     }
 
-    [[nodiscard]] AttemptResult withoutAnswer(std::string reason) const {
+    [[nodiscard]] AttemptResult failureResult(std::string reason) const {
         return {is_sent_ ? AttemptOutcome::kUnknown : AttemptOutcome::kNotSent, {}, std::move(reason)};
     }
 
-    void drop() {
+    void releaseConnection() {
         if (connection_ != nullptr) {
             connection_->setListener(nullptr);
-            client_.dropLater(std::move(connection_));
+            client_.destroyLater(std::move(connection_));
         }
     }
 
@@ -116,10 +116,10 @@
     while (!idle.empty()) {
         auto connection = std::move(idle.back());
         idle.pop_back();
-        if (connection->isFresh(loop_.now())) {
+        if (connection->isWithinIdleTime(loop_.now())) {
             return connection;
         }
-        dropLater(std::move(connection));
+        destroyLater(std::move(connection));
     }
     return std::make_unique<ClientConnection>(*this, address);
 }
@@ -127,28 +127,28 @@
 void HttpClient::keepConnection(std::unique_ptr<ClientConnection> connection) {
     auto& idle = idle_[connection->address()];
     if (idle.size() >= options_.idle_per_address) {
-        dropLater(std::move(connection));
+        destroyLater(std::move(connection));
         return;
     }
     connection->markIdle(loop_.now());
     idle.push_back(std::move(connection));
 }
 
-void HttpClient::onIdleEnded(ClientConnection* connection) {
+void HttpClient::onIdleClosed(ClientConnection* connection) {
     auto& idle = idle_[connection->address()];
     const auto found =
         std::find_if(idle.begin(), idle.end(), [&](const auto& candidate) { return candidate.get() == connection; });
     if (found != idle.end()) {
-        dropLater(std::move(*found));
+        destroyLater(std::move(*found));
         idle.erase(found);
     }
 }
 
 /// A connection may still be on the stack when it is dropped, so it is freed from the loop.
-void HttpClient::dropLater(std::unique_ptr<ClientConnection> connection) {
-    dropped_.push_back(std::move(connection));
-    if (dropped_.size() == 1) {
-        drop_timer_ = loop_.startTimer(Duration::zero(), [this] { dropped_.clear(); });
+void HttpClient::destroyLater(std::unique_ptr<ClientConnection> connection) {
+    to_destroy_.push_back(std::move(connection));
+    if (to_destroy_.size() == 1) {
+        destroy_timer_ = loop_.startTimer(Duration::zero(), [this] { to_destroy_.clear(); });
     }
 }
 
--- a/src/adapters/http_client.h
+++ b/src/adapters/http_client.h
@@ -44,7 +44,7 @@
                                      Callback callback) override;
     [[nodiscard]] std::size_t openConnections() const { return open_connections_; }
     /// Connections that were ever begun.
-    [[nodiscard]] std::uint64_t connectionsBegun() const { return connections_begun_; }
+    [[nodiscard]] std::uint64_t connectionsBegun() const { return total_connections_; }
 
 private:
     friend class ClientConnection;
@@ -53,17 +53,17 @@
 
     std::unique_ptr<ClientConnection> takeConnection(const std::string& address);
     void keepConnection(std::unique_ptr<ClientConnection> connection);
-    void onIdleEnded(ClientConnection* connection);
-    void dropLater(std::unique_ptr<ClientConnection> connection);
+    void onIdleClosed(ClientConnection* connection);
+    void destroyLater(std::unique_ptr<ClientConnection> connection);
 
     EventLoop& loop_;
     HttpLimits limits_;
     ClientOptions options_;
     std::map<std::string, std::vector<std::unique_ptr<ClientConnection>>> idle_;
-    std::vector<std::unique_ptr<ClientConnection>> dropped_;
-    TimerHandle drop_timer_;
+    std::vector<std::unique_ptr<ClientConnection>> to_destroy_;
+    TimerHandle destroy_timer_;
     std::size_t open_connections_ = 0;
-    std::uint64_t connections_begun_ = 0;
+    std::uint64_t total_connections_ = 0;
 };
 
 }  // namespace dewcrank::adapters
--- a/src/adapters/http_parser.cc
+++ b/src/adapters/http_parser.cc
@@ -16,17 +16,17 @@
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
 /// What the library says of a message without a length.
-constexpr auto kNoLength = std::numeric_limits<std::uint64_t>::max();
+constexpr auto kUnknownLength = std::numeric_limits<std::uint64_t>::max();
 constexpr unsigned char kFirstVisible = 0x21;
 constexpr unsigned char kDelete = 0x7f;
 constexpr std::string_view kLineEnd = "\r\n";
-constexpr std::size_t kUsualHead = 1024;
+constexpr std::size_t kTypicalHeadSize = 1024;
 
 /// Answers for each value of a character.
 using CharacterSet = std::array<bool, std::numeric_limits<unsigned char>::max() + 1>;
 
 /// RFC 9110, section 5.6.2.
-constexpr CharacterSet tokenCharacters() {
+constexpr CharacterSet makeTokenCharacters() {
     CharacterSet set{};
     for (const char character :
          std::string_view("0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ!#$%&'*+-.^_`|~")) {
@@ -35,7 +35,7 @@
     return set;
 }
 
-constexpr CharacterSet valueCharacters() {
+constexpr CharacterSet makeValueCharacters() {
     CharacterSet set{};
     for (std::size_t value = kFirstVisible; value < set.size(); ++value) {
         set.at(value) = value != kDelete;
@@ -45,8 +45,8 @@
     return set;
 }
 
-constexpr CharacterSet kTokenCharacters = tokenCharacters();
-constexpr CharacterSet kValueCharacters = valueCharacters();
+constexpr CharacterSet kTokenCharacters = makeTokenCharacters();
+constexpr CharacterSet kValueCharacters = makeValueCharacters();
 
 bool isTokenCharacter(char character) {
     return kTokenCharacters[static_cast<unsigned char>(character)];
@@ -115,15 +115,15 @@
     parser_.data = this;
     expects_no_body_ = expects_no_body;
     has_started_ = false;
-    has_whole_head_ = false;
+    has_complete_head_ = false;
     is_complete_ = false;
     ends_with_connection_ = false;
-    keeps_alive_ = false;
+    keep_alive_ = false;
     failure_ = State::kIncomplete;
     head_bytes_ = 0;
-    length_headers_ = 0;
+    framing_header_count_ = 0;
     in_value_ = false;
-    fed_bytes_ = 0;
+    consumed_bytes_ = 0;
     value_end_ = 0;
     url_.clear();
     field_.clear();
@@ -134,19 +134,19 @@
 
 HttpMessageParser::State HttpMessageParser::feed(const char* data, std::size_t size, std::size_t* consumed) {
     static const http_parser_settings settings = makeSettings();
-    chunk_start_ = data;
-    const bool head_was_open = !has_whole_head_;
+    input_start_ = data;
+    const bool was_reading_head = !has_complete_head_;
     *consumed = http_parser_execute(&parser_, &settings, data, size);
-    fed_bytes_ += *consumed;
+    consumed_bytes_ += *consumed;
     if (is_complete_) {
         return State::kComplete;
     }
     if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK) {
-        return failure_ != State::kIncomplete ? failure_ : stateOfError(data, size);
+        return failure_ != State::kIncomplete ? failure_ : errorState(data, size);
     }
-    if (head_was_open) {
+    if (was_reading_head) {
         head_bytes_ += *consumed;
-        if (!has_whole_head_ && head_bytes_ > limits_.header_bytes) {
+        if (!has_complete_head_ && head_bytes_ > limits_.header_bytes) {
             return State::kMalformed;
         }
     }
@@ -158,7 +158,7 @@
     return ends_with_connection_ ? feed("", 0, &consumed) : State::kMalformed;
 }
 
-HttpMessageParser::State HttpMessageParser::stateOfError(const char* data, std::size_t size) const {
+HttpMessageParser::State HttpMessageParser::errorState(const char* data, std::size_t size) const {
     const bool is_method = HTTP_PARSER_ERRNO(&parser_) == HPE_INVALID_METHOD;
     return is_method && looksLikeRequestLine({data, size}) ? State::kUnknownMethod : State::kMalformed;
 }
@@ -178,7 +178,7 @@
 
 /// A value that goes on at another place than where it ended has been folded over lines.
 int HttpMessageParser::onHeaderValue(const char* at, std::size_t length) {
-    const auto begin = fed_bytes_ + static_cast<std::size_t>(at - chunk_start_);
+    const auto begin = consumed_bytes_ + static_cast<std::size_t>(at - input_start_);
     if (in_value_ && begin != value_end_) {
         return fail(State::kMalformed);
     }
@@ -190,7 +190,7 @@
 
 void HttpMessageParser::flushHeader() {
     if (sameHeaderName(field_, "content-length") || sameHeaderName(field_, "transfer-encoding")) {
-        ++length_headers_;
+        ++framing_header_count_;
     }
     headers_.add(std::exchange(field_, {}), std::exchange(value_, {}));
     in_value_ = false;
@@ -200,13 +200,13 @@
     if (!field_.empty()) {
         flushHeader();
     }
-    has_whole_head_ = true;
+    has_complete_head_ = true;
     const auto& lines = headers_.lines();
-    const bool is_clean = std::all_of(lines.begin(), lines.end(), [](const Header& line) {
+    const bool is_valid = std::all_of(lines.begin(), lines.end(), [](const Header& line) {
         return isToken(line.name) && std::all_of(line.value.begin(), line.value.end(), isValueCharacter);
     });
     const auto encoding = headers_.get("transfer-encoding");
-    if (!is_clean || length_headers_ > 1 || (!encoding.empty() && !sameHeaderName(encoding, "chunked"))) {
+    if (!is_valid || framing_header_count_ > 1 || (!encoding.empty() && !sameHeaderName(encoding, "chunked"))) {
         return fail(State::kMalformed);
     }
     std::size_t head_size = url_.size();
@@ -216,8 +216,8 @@
     if (head_size > limits_.header_bytes) {
         return fail(State::kMalformed);
     }
-    const bool has_length = (parser_.flags & F_CHUNKED) != 0 || parser_.content_length != kNoLength;
-    if (parser_.content_length != kNoLength && parser_.content_length > limits_.body_bytes) {
+    const bool has_length = (parser_.flags & F_CHUNKED) != 0 || parser_.content_length != kUnknownLength;
+    if (parser_.content_length != kUnknownLength && parser_.content_length > limits_.body_bytes) {
         return fail(State::kTooLarge);
     }
     const auto status = parser_.status_code;
@@ -247,7 +247,7 @@
         flushHeader();  // Of a trailer, which is dropped with the framing.
     }
     is_complete_ = true;
-    keeps_alive_ = http_should_keep_alive(&parser_) != 0;
+    keep_alive_ = http_should_keep_alive(&parser_) != 0;
     http_parser_pause(&parser_, 1);
     return 0;
 }
@@ -265,17 +265,17 @@
     return request;
 }
 
-HttpAnswer HttpMessageParser::takeAnswer() {
-    HttpAnswer answer;
-    answer.status = static_cast<int>(parser_.status_code);
-    answer.headers = std::move(headers_);
-    answer.body = std::move(body_);
-    return answer;
+HttpAnswer HttpMessageParser::takeResponse() {
+    HttpAnswer response;
+    response.status = static_cast<int>(parser_.status_code);
+    response.headers = std::move(headers_);
+    response.body = std::move(body_);
+    return response;
 }
 
 std::string writeHead(const std::string& first_line, const Headers& headers, const Framing& framing) {
     std::string head;
-    head.reserve(kUsualHead);
+    head.reserve(kTypicalHeadSize);
     head.append(first_line).append(kLineEnd);
     for (const auto& [name, value] : headers.lines()) {
         const bool is_safe = isToken(name) && std::all_of(value.begin(), value.end(), isValueCharacter);
@@ -286,7 +286,7 @@
     if (!framing.host.empty() && !headers.has("host")) {
         head.append("Host: ").append(framing.host).append(kLineEnd);
     }
-    if (framing.closes) {
+    if (framing.close_connection) {
         head.append("Connection: close").append(kLineEnd);
     }
     if (framing.body_size >= 0) {
--- a/src/adapters/http_parser.h
+++ b/src/adapters/http_parser.h
@@ -25,7 +25,7 @@
 /// Reads one message after the other. A message is whole or it is none.
 class HttpMessageParser {
 public:
-    enum class Kind { kRequest, kAnswer };
+    enum class Kind { kRequest, kResponse };
     enum class State {
         kIncomplete,
         kComplete,   ///< The message is whole; bytes behind it were not consumed.
@@ -47,16 +47,16 @@
     State finish();
 
     [[nodiscard]] bool hasStarted() const { return has_started_; }
-    [[nodiscard]] bool hasWholeHead() const { return has_whole_head_; }
+    [[nodiscard]] bool hasCompleteHead() const { return has_complete_head_; }
     /// True if only the end of the connection ends the message.
     [[nodiscard]] bool endsWithConnection() const { return ends_with_connection_; }
     /// True if the connection may carry another message after this one.
-    [[nodiscard]] bool keepsAlive() const { return keeps_alive_; }
+    [[nodiscard]] bool shouldKeepAlive() const { return keep_alive_; }
     /// True if the sender waits for an interim answer before it sends the body.
     [[nodiscard]] bool expectsContinue() const;
 
     [[nodiscard]] HttpRequest takeRequest();
-    [[nodiscard]] HttpAnswer takeAnswer();
+    [[nodiscard]] HttpAnswer takeResponse();
 
 private:
     static HttpMessageParser* self(http_parser* parser) { return static_cast<HttpMessageParser*>(parser->data); }
@@ -68,23 +68,23 @@
     int onMessageComplete();
     int fail(State state);
     void flushHeader();
-    [[nodiscard]] State stateOfError(const char* data, std::size_t size) const;
+    [[nodiscard]] State errorState(const char* data, std::size_t size) const;
 
     http_parser_type type_;
     HttpLimits limits_;
     http_parser parser_{};
     bool expects_no_body_ = false;
     bool has_started_ = false;
-    bool has_whole_head_ = false;
+    bool has_complete_head_ = false;
     bool is_complete_ = false;
     bool ends_with_connection_ = false;
-    bool keeps_alive_ = false;
+    bool keep_alive_ = false;
     State failure_ = State::kIncomplete;
     std::size_t head_bytes_ = 0;
-    std::size_t length_headers_ = 0;
+    std::size_t framing_header_count_ = 0;
     bool in_value_ = false;
-    const char* chunk_start_ = nullptr;  ///< Of the bytes that are being fed.
-    std::size_t fed_bytes_ = 0;          ///< Of this message, before them.
+    const char* input_start_ = nullptr;  ///< Of the bytes that are being fed.
+    std::size_t consumed_bytes_ = 0;     ///< Of this message, before them.
     std::size_t value_end_ = 0;          ///< Where the value that is being read has come to, counted as they are.
     std::string url_;
     std::string field_;
@@ -95,9 +95,9 @@
 
 /// What frames a message that is written.
 struct Framing {
-    long long body_size = -1;  ///< Written as the length, unless it is negative.
-    bool closes = false;       ///< The connection ends with this message.
-    std::string_view host;     ///< Written if the headers have none; empty: never.
+    long long body_size = -1;       ///< Written as the length, unless it is negative.
+    bool close_connection = false;  ///< The connection ends with this message.
+    std::string_view host;          ///< Written if the headers have none; empty: never.
 };
 
 /// The head of a message, without those of its headers that frame it, and its end.
--- a/src/adapters/http_server.cc
+++ b/src/adapters/http_server.cc
@@ -28,37 +28,37 @@
 
 // Exchange -----------------------------------------------------------------
 
-ServerExchange::ServerExchange(ServerConnection* connection, std::string method, bool keeps_alive)
-    : connection_(connection), method_(std::move(method)), keeps_alive_(keeps_alive) {}
+ServerExchange::ServerExchange(ServerConnection* connection, std::string method, bool keep_alive)
+    : connection_(connection), method_(std::move(method)), keep_alive_(keep_alive) {}
 
-void ServerExchange::reply(HttpAnswer answer) {
-    if (connection_ == nullptr || is_answered_) {
+void ServerExchange::reply(HttpAnswer response) {
+    if (connection_ == nullptr || is_replied_) {
         return;
     }
-    is_answered_ = true;
-    answer_ = std::move(answer);
-    caller_left_ = nullptr;
-    connection_->onAnswered();
+    is_replied_ = true;
+    response_ = std::move(response);
+    on_client_disconnected_ = nullptr;
+    connection_->onReplied();
 }
 
 void ServerExchange::onCallerLeft(std::function<void()> callback) {
-    if (connection_ != nullptr && !is_answered_) {
-        caller_left_ = std::move(callback);
+    if (connection_ != nullptr && !is_replied_) {
+        on_client_disconnected_ = std::move(callback);
     }
 }
 
 void ServerExchange::abort() {
     if (connection_ != nullptr) {
         const auto keep = shared_from_this();
-        caller_left_ = nullptr;
+        on_client_disconnected_ = nullptr;
         connection_->close();
     }
 }
 
 // Server -------------------------------------------------------------------
 
-HttpServer::HttpServer(EventLoop& loop, HttpLimits limits, Duration caller_timeout, Handler handler)
-    : loop_(loop), limits_(limits), timeouts_{caller_timeout, caller_timeout}, handler_(std::move(handler)) {}
+HttpServer::HttpServer(EventLoop& loop, HttpLimits limits, Duration client_timeout, Handler handler)
+    : loop_(loop), limits_(limits), timeouts_{client_timeout, client_timeout}, handler_(std::move(handler)) {}
 
 HttpServer::~HttpServer() {
     if (listener_ != nullptr) {
@@ -90,7 +90,7 @@
 }
 
 void HttpServer::stopAccepting() {
-    is_closing_ = true;
+    close_after_response_ = true;
     if (listener_ != nullptr) {
         evconnlistener_free(std::exchange(listener_, nullptr));
     }
@@ -105,11 +105,11 @@
     }
 }
 
-void HttpServer::forget(ServerConnection* connection) {
+void HttpServer::destroyLater(ServerConnection* connection) {
     connections_.erase(connection);
-    closed_.emplace_back(connection);
-    if (closed_.size() == 1) {
-        closed_timer_ = loop_.startTimer(Duration::zero(), [this] { closed_.clear(); });
+    to_destroy_.emplace_back(connection);
+    if (to_destroy_.size() == 1) {
+        destroy_timer_ = loop_.startTimer(Duration::zero(), [this] { to_destroy_.clear(); });
     }
 }
 
--- a/src/adapters/http_server.h
+++ b/src/adapters/http_server.h
@@ -26,11 +26,11 @@
 /// `reply` may be called once; later calls are ignored, as is one after the caller has left.
 class ServerExchange : public std::enable_shared_from_this<ServerExchange> {
 public:
-    ServerExchange(ServerConnection* connection, std::string method, bool keeps_alive);
+    ServerExchange(ServerConnection* connection, std::string method, bool keep_alive);
     ServerExchange(const ServerExchange&) = delete;
     ServerExchange& operator=(const ServerExchange&) = delete;
 
-    void reply(HttpAnswer answer);
+    void reply(HttpAnswer response);
     /// Calls back once if the caller closes its connection before the answer.
     void onCallerLeft(std::function<void()> callback);
     /// Closes the connection without any answer, as a failing server would.
@@ -40,10 +40,10 @@
     friend class ServerConnection;
     ServerConnection* connection_;  ///< Null once answered or closed.
     std::string method_;
-    bool keeps_alive_;
-    bool is_answered_ = false;
-    HttpAnswer answer_;
-    std::function<void()> caller_left_;
+    bool keep_alive_;
+    bool is_replied_ = false;
+    HttpAnswer response_;
+    std::function<void()> on_client_disconnected_;
 };
 
 /// How long a caller may take.
@@ -61,7 +61,7 @@
 public:
     using Handler = std::function<void(HttpRequest, std::shared_ptr<ServerExchange>)>;
 
-    HttpServer(EventLoop& loop, HttpLimits limits, Duration caller_timeout, Handler handler);
+    HttpServer(EventLoop& loop, HttpLimits limits, Duration client_timeout, Handler handler);
     ~HttpServer();
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
@@ -71,7 +71,7 @@
     /// Applies to requests and connections that begin from now on.
     void setLimits(HttpLimits limits, ServerTimeouts timeouts);
     /// Closes each open connection after its next answer; further ones are still accepted.
-    void closeAfterAnswers() { is_closing_ = true; }
+    void closeAfterAnswers() { close_after_response_ = true; }
     /// Closes the connections on which no request waits for its answer; what they have sent
     /// since is not read.
     void closeIdle();
@@ -85,17 +85,17 @@
                          void* self);
 
     /// Destroys a closed connection from the loop: it may still be on the stack.
-    void forget(ServerConnection* connection);
+    void destroyLater(ServerConnection* connection);
 
     EventLoop& loop_;
     HttpLimits limits_;
     ServerTimeouts timeouts_;
     Handler handler_;
     evconnlistener* listener_ = nullptr;
-    bool is_closing_ = false;
+    bool close_after_response_ = false;
     std::set<ServerConnection*> connections_;
-    std::vector<std::unique_ptr<ServerConnection>> closed_;
-    TimerHandle closed_timer_;
+    std::vector<std::unique_ptr<ServerConnection>> to_destroy_;
+    TimerHandle destroy_timer_;
 };
 
 }  // namespace dewcrank::adapters
--- a/src/adapters/json_fields.cc
+++ b/src/adapters/json_fields.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-const nlohmann::json& fieldOf(const nlohmann::json& object, const char* field) {
+const nlohmann::json& requireField(const nlohmann::json& object, const char* field) {
     if (!object.is_object() || !object.contains(field)) {
         refuseField(field, "a value");
     }
@@ -20,7 +20,7 @@
 }
 
 const nlohmann::json& objectIn(const nlohmann::json& parent, const char* field) {
-    const auto& value = fieldOf(parent, field);
+    const auto& value = requireField(parent, field);
     if (!value.is_object()) {
         refuseField(field, "an object");
     }
@@ -28,17 +28,17 @@
 }
 
 std::string textIn(const nlohmann::json& object, const char* field) {
-    const auto& value = fieldOf(object, field);
+    const auto& value = requireField(object, field);
     if (!value.is_string() || value.get_ref<const std::string&>().empty()) {
         refuseField(field, "a text");
     }
     return value.get<std::string>();
 }
 
-std::uint64_t wholeIn(const nlohmann::json& object, const char* field, std::uint64_t least, std::uint64_t most) {
-    const auto& value = fieldOf(object, field);
-    const bool is_whole = value.is_number_unsigned();
-    if (!is_whole || value.get<std::uint64_t>() < least || value.get<std::uint64_t>() > most) {
+std::uint64_t wholeIn(const nlohmann::json& object, const char* field, std::uint64_t min, std::uint64_t max) {
+    const auto& value = requireField(object, field);
+    const bool is_unsigned = value.is_number_unsigned();
+    if (!is_unsigned || value.get<std::uint64_t>() < min || value.get<std::uint64_t>() > max) {
         refuseField(field, "a whole number in its range");
     }
     return value.get<std::uint64_t>();
@@ -50,7 +50,7 @@
 }
 
 double numberIn(const nlohmann::json& object, const char* field) {
-    const auto& value = fieldOf(object, field);
+    const auto& value = requireField(object, field);
     if (!value.is_number() || value.get<double>() < 0) {
         refuseField(field, "a number from 0 on");
     }
--- a/src/adapters/json_fields.h
+++ b/src/adapters/json_fields.h
@@ -19,7 +19,7 @@
 /// Not empty.
 std::string textIn(const nlohmann::json& object, const char* field);
 /// A whole number from `least` to `most`; a fraction is none, neither is a truth value.
-std::uint64_t wholeIn(const nlohmann::json& object, const char* field, std::uint64_t least, std::uint64_t most);
+std::uint64_t wholeIn(const nlohmann::json& object, const char* field, std::uint64_t min, std::uint64_t max);
 /// Zero or more.
 double numberIn(const nlohmann::json& object, const char* field);
 
--- a/src/adapters/process_log.cc
+++ b/src/adapters/process_log.cc
@@ -17,7 +17,7 @@
 
 /// Writes to standard output only what goes without waiting. A pipe that is ready takes PIPE_BUF
 /// bytes at least, so a line up to that size is written whole or not at all.
-class UnblockedOutput : public el::LogDispatchCallback {
+class NonBlockingStdout : public el::LogDispatchCallback {
 public:
     static std::uint64_t& dropped() {
         static std::uint64_t count = 0;
@@ -27,7 +27,7 @@
 protected:
     void handle(const el::LogDispatchData* data) override {
         auto* logger = data->logMessage()->logger();
-        if (logger->id() != kLogger || !is_on) {
+        if (logger->id() != kLogger || !is_enabled) {
             return;
         }
         auto line = logger->logBuilder()->build(data->logMessage(), true);
@@ -49,7 +49,7 @@
     }
 
 public:
-    bool is_on = false;
+    bool is_enabled = false;
 
 private:
     std::uint64_t unreported_ = 0;
@@ -68,8 +68,8 @@
     }
     el::Loggers::getLogger(kLogger);
     el::Loggers::reconfigureLogger(kLogger, configuration);
-    el::Helpers::installLogDispatchCallback<UnblockedOutput>(kSinkName);
-    el::Helpers::logDispatchCallback<UnblockedOutput>(kSinkName)->is_on = file.empty();
+    el::Helpers::installLogDispatchCallback<NonBlockingStdout>(kSinkName);
+    el::Helpers::logDispatchCallback<NonBlockingStdout>(kSinkName)->is_enabled = file.empty();
 }
 
 void ProcessLog::write(const Event& event) {
@@ -77,7 +77,7 @@
 }
 
 std::uint64_t ProcessLog::droppedLines() {
-    return UnblockedOutput::dropped();
+    return NonBlockingStdout::dropped();
 }
 
 }  // namespace dewcrank::adapters
--- a/src/adapters/server_connection.h
+++ b/src/adapters/server_connection.h
@@ -21,7 +21,7 @@
     ServerConnection& operator=(const ServerConnection&) = delete;
 
     /// An exchange has its answer: writes all answers that are due.
-    void onAnswered();
+    void onReplied();
     /// True if no request waits for its answer and no answer is being written.
     [[nodiscard]] bool isIdle() const;
     /// Closes at once; callers of open exchanges count as left. Destroyed later by the loop.
@@ -29,32 +29,32 @@
 
 private:
     std::size_t onBytes(std::string_view bytes) override;
-    void onWritten() override { finishWriting(); }
-    void onEnded(StreamEnd) override { close(); }
+    void onWritten() override { shutdownIfWritten(); }
+    void onClosed(CloseReason) override { close(); }
     void onRequest();
     void sendContinueIfExpected();
-    void refuse(HttpMessageParser::State state);
-    void refuseWith(int status);
-    void writeAnswer(const ServerExchange& exchange, bool closes);
-    void finishWriting();
-    void armTimeout();
-    void startTimeout();
-    void onTimeout();
+    void rejectUnparsed(HttpMessageParser::State state);
+    void reject(int status);
+    void writeResponse(const ServerExchange& exchange, bool close_connection);
+    void shutdownIfWritten();
+    void updateDeadline();
+    void startTimer();
+    void onTimer();
 
     HttpServer& server_;
     SocketStream stream_;
     HttpMessageParser parser_;
-    std::deque<std::shared_ptr<ServerExchange>> open_;
-    std::optional<TimePoint> closes_at_;  ///< Nothing while an answer is due.
-    TimePoint timeout_at_{};              ///< When the timer runs out: never after closes_at_.
-    TimerHandle timeout_;
-    TimerHandle offer_timer_;
-    bool head_timer_runs_ = false;
+    std::deque<std::shared_ptr<ServerExchange>> pending_;
+    std::optional<TimePoint> deadline_;  ///< Nothing while an answer is due.
+    TimePoint timer_expiry_{};           ///< When the timer runs out: never after closes_at_.
+    TimerHandle timer_;
+    TimerHandle redeliver_timer_;
+    bool is_head_timed_ = false;
     bool continue_sent_ = false;
     bool is_closed_ = false;
-    bool takes_no_more_ = false;  ///< No further request is read from this connection.
-    bool closes_when_written_ = false;
-    int pending_refusal_ = 0;  ///< Status for a request that could not be read.
+    bool is_reading_done_ = false;  ///< No further request is read from this connection.
+    bool close_after_write_ = false;
+    int pending_error_status_ = 0;  ///< Status for a request that could not be read.
 };
 
 }  // namespace dewcrank::adapters
--- a/src/adapters/sidecar_metrics.cc
+++ b/src/adapters/sidecar_metrics.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-const char* endText(entry::EntryEnd end) {
+const char* outcomeLabel(entry::EntryEnd end) {
     switch (end) {
         case entry::EntryEnd::kAnswered:
             return "answered";
@@ -39,10 +39,10 @@
     calls_
         .Add({{"route", report.route},
               {"service", report.service},
-              {"end", endText(report.end)},
+              {"end", outcomeLabel(report.end)},
               {"reason", report.reason}})
         .Increment();
-    latencies_.Add({{"route", report.route}, {"end", endText(report.end)}}, kBuckets)
+    latencies_.Add({{"route", report.route}, {"end", outcomeLabel(report.end)}}, kBuckets)
         .Observe(std::chrono::duration<double>(report.elapsed).count());
 }
 
@@ -50,19 +50,20 @@
     prometheus::BuildGauge().Name(name).Help(help).Register(registry_).Add({}).Set(value);
 }
 
-std::string SidecarMetrics::text(sidecar::SidecarNode& node, const AdapterFigures& figures) {
-    const auto load = node.relay().load();
-    setGauge("dewcrank_instance_running", "Calls that the instance has.", load.running);
-    setGauge("dewcrank_instance_waiting", "Calls that wait for the instance.", load.waiting);
-    setGauge("dewcrank_instance_limit", "Calls that the instance may have at once.", load.limit);
+std::string SidecarMetrics::text(sidecar::SidecarNode& node, const AdapterFigures& stats) {
+    const auto instance_load = node.relay().load();
+    setGauge("dewcrank_instance_running", "Calls that the instance has.", instance_load.running);
+    setGauge("dewcrank_instance_waiting", "Calls that wait for the instance.", instance_load.waiting);
+    setGauge("dewcrank_instance_limit", "Calls that the instance may have at once.", instance_load.limit);
     setGauge("dewcrank_suspects", "Requests that ran when an instance of the service ended.",
              static_cast<double>(node.quarantine().suspectCount()));
     setGauge("dewcrank_quarantined", "Requests that are kept from the instances of the service.",
              static_cast<double>(node.quarantine().quarantinedCount()));
-    const auto own = node.serviceLoad();
-    setGauge("dewcrank_instance_demand", "Slots that all requests would need, refused ones included.", own.demand);
-    setGauge("dewcrank_instance_busy", "Slots in use, mean of a second.", own.busy);
-    setGauge("dewcrank_instance_level", "Share of the requests upstream to admit.", own.level());
+    const auto service_load = node.serviceLoad();
+    setGauge("dewcrank_instance_demand", "Slots that all requests would need, refused ones included.",
+             service_load.demand);
+    setGauge("dewcrank_instance_busy", "Slots in use, mean of a second.", service_load.busy);
+    setGauge("dewcrank_instance_level", "Share of the requests upstream to admit.", service_load.level());
     const auto& repeats = node.relay().retryTotals();
     setGauge("dewcrank_repeat_requests", "Requests that repeats are allowed for, since the start.", repeats.requests);
     setGauge("dewcrank_repeats_inherited", "Calls of repeated runs, since the start.", repeats.inherited);
@@ -94,20 +95,20 @@
     setGauge("dewcrank_relayed_calls", "Calls relayed for other nodes.", static_cast<double>(node.counters().relayed));
     setGauge("dewcrank_heartbeats", "Heartbeats of the instance.", static_cast<double>(node.counters().heartbeats));
     setGauge("dewcrank_heartbeats_refused", "Heartbeats that could not be read, or name no service of the table.",
-             static_cast<double>(figures.heartbeats_refused));
+             static_cast<double>(stats.heartbeats_refused));
     setGauge("dewcrank_store_era", "Raised each time that the store comes back from an older copy; 0: it tells none.",
              static_cast<double>(node.storeEra()));
     setGauge("dewcrank_instance_lives", "Lives of instances that are remembered.",
              static_cast<double>(node.knownIncarnations()));
     setGauge("dewcrank_ready", "1 if callers may be sent here.", node.isReady() ? 1 : 0);
     setGauge("dewcrank_caller_connections", "Open connections of callers.",
-             static_cast<double>(figures.caller_connections));
+             static_cast<double>(stats.caller_connections));
     setGauge("dewcrank_instance_connections", "Open connections to the instance.",
-             static_cast<double>(figures.instance_connections));
+             static_cast<double>(stats.instance_connections));
     setGauge("dewcrank_instance_connections_begun", "Connections to the instance since the start.",
-             static_cast<double>(figures.instance_connections_begun));
+             static_cast<double>(stats.instance_connections_begun));
     setGauge("dewcrank_log_lines_dropped", "Lines that their reader did not take.",
-             static_cast<double>(figures.log_lines_dropped));
+             static_cast<double>(stats.log_lines_dropped));
     return prometheus::TextSerializer().Serialize(registry_.Collect());
 }
 
--- a/src/adapters/sidecar_metrics.h
+++ b/src/adapters/sidecar_metrics.h
@@ -26,7 +26,7 @@
 public:
     SidecarMetrics();
     void onCallEnded(const entry::EntryReport& report);
-    [[nodiscard]] std::string text(sidecar::SidecarNode& node, const AdapterFigures& figures);
+    [[nodiscard]] std::string text(sidecar::SidecarNode& node, const AdapterFigures& stats);
 
 private:
     void setGauge(const char* name, const char* help, double value);
--- a/src/adapters/sidecar_settings.cc
+++ b/src/adapters/sidecar_settings.cc
@@ -14,21 +14,21 @@
 namespace {
 
 constexpr const char* kStep = "settings";
-constexpr double kLongestMs = 600'000;
-constexpr double kLongestSeconds = 3600;
-constexpr double kMostSlack = 1e6;
+constexpr double kMaxMs = 600'000;
+constexpr double kMaxSeconds = 3600;
+constexpr double kMaxSlack = 1e6;
 
 /// Where a key stands, and its value as text.
-struct Placed {
-    std::string place;
+struct SourceValue {
+    std::string location;
     std::string text;
 };
 
 /// How one key is read and printed.
-struct Key {
+struct SettingKey {
     const char* name;
     bool is_required;
-    std::function<Result<void>(SidecarSettings&, const Placed&)> read;
+    std::function<Result<void>(SidecarSettings&, const SourceValue&)> read;
     std::function<std::string(const SidecarSettings&)> print;
 };
 
@@ -38,38 +38,38 @@
     return text.str();
 }
 
-Result<double> parseNumber(const Placed& placed, const char* key, double least, double most) {
+Result<double> parseNumber(const SourceValue& source, const char* key, double min, double max) {
     double value = 0;
-    const auto& text = placed.text;
+    const auto& text = source.text;
     const auto result = std::from_chars(text.data(), text.data() + text.size(), value);
     const bool is_number = result.ec == std::errc() && result.ptr == text.data() + text.size();
-    if (!is_number || value < least || value > most) {
-        return stepError(kStep, placed.place,
-                         std::string(key) + ": '" + text + "' is not a number from " + numberText(least) + " to " +
-                             numberText(most));
+    if (!is_number || value < min || value > max) {
+        return stepError(
+            kStep, source.location,
+            std::string(key) + ": '" + text + "' is not a number from " + numberText(min) + " to " + numberText(max));
     }
     return value;
 }
 
-Key textKey(const char* name, std::string SidecarSettings::*member) {
+SettingKey stringKey(const char* name, std::string SidecarSettings::*member) {
     return {name, true,
-            [name, member](SidecarSettings& settings, const Placed& placed) -> Result<void> {
-                if (placed.text.empty()) {
-                    return stepError(kStep, placed.place, std::string(name) + ": must not be empty");
+            [name, member](SidecarSettings& settings, const SourceValue& source) -> Result<void> {
+                if (source.text.empty()) {
+                    return stepError(kStep, source.location, std::string(name) + ": must not be empty");
                 }
-                settings.*member = placed.text;
+                settings.*member = source.text;
                 return {};
             },
             [member](const SidecarSettings& settings) { return settings.*member; }};
 }
 
-Key addressKey(const char* name, SocketAddress SidecarSettings::*member) {
+SettingKey addressKey(const char* name, SocketAddress SidecarSettings::*member) {
     return {name, true,
-            [name, member](SidecarSettings& settings, const Placed& placed) -> Result<void> {
-                const auto address = parseSocketAddress(placed.text);
+            [name, member](SidecarSettings& settings, const SourceValue& source) -> Result<void> {
+                const auto address = parseSocketAddress(source.text);
                 if (!address) {
-                    return stepError(kStep, placed.place,
-                                     std::string(name) + ": '" + placed.text + "' is not ip:port with an IPv4 number");
+                    return stepError(kStep, source.location,
+                                     std::string(name) + ": '" + source.text + "' is not ip:port with an IPv4 number");
                 }
                 settings.*member = *address;
                 return {};
@@ -77,13 +77,13 @@
             [member](const SidecarSettings& settings) { return (settings.*member).text(); }};
 }
 
-Key optionalAddressKey(const char* name, std::optional<SocketAddress> SidecarSettings::*member) {
+SettingKey optionalAddressKey(const char* name, std::optional<SocketAddress> SidecarSettings::*member) {
     return {name, false,
-            [name, member](SidecarSettings& settings, const Placed& placed) -> Result<void> {
-                settings.*member = parseSocketAddress(placed.text);
-                if (!(settings.*member) && !placed.text.empty()) {
-                    return stepError(kStep, placed.place,
-                                     std::string(name) + ": '" + placed.text + "' is not ip:port with an IPv4 number");
+            [name, member](SidecarSettings& settings, const SourceValue& source) -> Result<void> {
+                settings.*member = parseSocketAddress(source.text);
+                if (!(settings.*member) && !source.text.empty()) {
+                    return stepError(kStep, source.location,
+                                     std::string(name) + ": '" + source.text + "' is not ip:port with an IPv4 number");
                 }
                 return {};
             },
@@ -93,14 +93,14 @@
 }
 
 /// Addresses with commas between them; none is fine.
-Key addressListKey(const char* name, std::vector<SocketAddress> SidecarSettings::*member) {
+SettingKey addressListKey(const char* name, std::vector<SocketAddress> SidecarSettings::*member) {
     return {name, false,
-            [name, member](SidecarSettings& settings, const Placed& placed) -> Result<void> {
-                std::istringstream items(placed.text);
+            [name, member](SidecarSettings& settings, const SourceValue& source) -> Result<void> {
+                std::istringstream items(source.text);
                 for (std::string item; std::getline(items, item, ',');) {
                     const auto address = parseSocketAddress(item);
                     if (!address) {
-                        return stepError(kStep, placed.place,
+                        return stepError(kStep, source.location,
                                          std::string(name) + ": '" + item + "' is not ip:port with an IPv4 number");
                     }
                     (settings.*member).push_back(*address);
@@ -116,14 +116,14 @@
             }};
 }
 
-Key numberKey(const char* name, double least, double most, const std::function<void(SidecarSettings&, double)>& set,
-              const std::function<double(const SidecarSettings&)>& get) {
+SettingKey numberKey(const char* name, double min, double max, const std::function<void(SidecarSettings&, double)>& set,
+                     const std::function<double(const SidecarSettings&)>& get) {
     return {name, false,
-            [=](SidecarSettings& settings, const Placed& placed) -> Result<void> {
-                if (placed.text.empty()) {
+            [=](SidecarSettings& settings, const SourceValue& source) -> Result<void> {
+                if (source.text.empty()) {
                     return {};  // Left to its default.
                 }
-                BOOST_LEAF_AUTO(value, parseNumber(placed, name, least, most));
+                BOOST_LEAF_AUTO(value, parseNumber(source, name, min, max));
                 set(settings, value);
                 return {};
             },
@@ -138,11 +138,11 @@
     return static_cast<double>(duration.count()) / 1e3;
 }
 
-const std::vector<Key>& keys() {
-    static const std::vector<Key> all = {
-        textKey("name", &SidecarSettings::name),
-        textKey("zone", &SidecarSettings::zone),
-        textKey("service", &SidecarSettings::service),
+const std::vector<SettingKey>& keys() {
+    static const std::vector<SettingKey> all = {
+        stringKey("name", &SidecarSettings::name),
+        stringKey("zone", &SidecarSettings::zone),
+        stringKey("service", &SidecarSettings::service),
         addressKey("listen.callers", &SidecarSettings::callers),
         addressKey("listen.nodes", &SidecarSettings::nodes),
         addressKey("listen.heartbeats", &SidecarSettings::heartbeats),
@@ -153,57 +153,58 @@
         addressKey("store.address", &SidecarSettings::store),
         addressListKey("fleet.seeds", &SidecarSettings::seeds),
         numberKey(
-            "instance.heartbeat_ms", 1, kLongestMs,
+            "instance.heartbeat_ms", 1, kMaxMs,
             [](SidecarSettings& settings, double value) { settings.heartbeat_interval = milliseconds(value); },
             [](const SidecarSettings& settings) { return inMilliseconds(settings.heartbeat_interval); }),
         numberKey(
-            "retries.ratio", 0, 1, [](SidecarSettings& settings, double value) { settings.repeats.ratio = value; },
-            [](const SidecarSettings& settings) { return settings.repeats.ratio; }),
+            "retries.ratio", 0, 1, [](SidecarSettings& settings, double value) { settings.retry_limit.ratio = value; },
+            [](const SidecarSettings& settings) { return settings.retry_limit.ratio; }),
         numberKey(
-            "retries.slack", 0, kMostSlack,
-            [](SidecarSettings& settings, double value) { settings.repeats.slack = value; },
-            [](const SidecarSettings& settings) { return settings.repeats.slack; }),
+            "retries.slack", 0, kMaxSlack,
+            [](SidecarSettings& settings, double value) { settings.retry_limit.slack = value; },
+            [](const SidecarSettings& settings) { return settings.retry_limit.slack; }),
         numberKey(
-            "retries.window_s", 1, kLongestSeconds,
-            [](SidecarSettings& settings, double value) { settings.repeats.window = milliseconds(value * 1e3); },
-            [](const SidecarSettings& settings) { return inMilliseconds(settings.repeats.window) / 1e3; }),
+            "retries.window_s", 1, kMaxSeconds,
+            [](SidecarSettings& settings, double value) { settings.retry_limit.window = milliseconds(value * 1e3); },
+            [](const SidecarSettings& settings) { return inMilliseconds(settings.retry_limit.window) / 1e3; }),
         numberKey(
-            "keys.revocation_ms", 0, kLongestMs,
+            "keys.revocation_ms", 0, kMaxMs,
             [](SidecarSettings& settings, double value) { settings.key_revocation = milliseconds(value); },
             [](const SidecarSettings& settings) { return inMilliseconds(settings.key_revocation); }),
         numberKey(
-            "stop.grace_s", 1, kLongestSeconds,
+            "stop.grace_s", 1, kMaxSeconds,
             [](SidecarSettings& settings, double value) { settings.stop_grace = milliseconds(value * 1e3); },
             [](const SidecarSettings& settings) { return inMilliseconds(settings.stop_grace) / 1e3; }),
     };
     return all;
 }
 
-std::string placeOf(const std::string& file, const toml::node& value) {
+std::string locationOf(const std::string& file, const toml::node& value) {
     return file + ":" + std::to_string(value.source().begin.line);
 }
 
-Result<void> collect(const std::string& file, const std::string& prefix, const toml::table& table,
-                     std::map<std::string, Placed>& values) {
+Result<void> collectValues(const std::string& file, const std::string& prefix, const toml::table& table,
+                           std::map<std::string, SourceValue>& values) {
     for (const auto& [name, value] : table) {
         const auto key = prefix + std::string(name.str());
         if (value.is_table()) {
-            BOOST_LEAF_CHECK(collect(file, key + ".", *value.as_table(), values));
+            BOOST_LEAF_CHECK(collectValues(file, key + ".", *value.as_table(), values));
             continue;
         }
-        const auto known = std::any_of(keys().begin(), keys().end(), [&](const Key& one) { return key == one.name; });
+        const auto known = std::any_of(keys().begin(), keys().end(),
+                                       [&](const SettingKey& candidate) { return key == candidate.name; });
         if (!known) {
-            return stepError(kStep, placeOf(file, value), key + ": unknown key");
+            return stepError(kStep, locationOf(file, value), key + ": unknown key");
         }
-        Placed placed{placeOf(file, value), ""};
+        SourceValue source{locationOf(file, value), ""};
         if (const auto text = value.value<std::string>()) {
-            placed.text = *text;
+            source.text = *text;
         } else if (const auto number = value.value<double>()) {
-            placed.text = numberText(*number);
+            source.text = numberText(*number);
         } else {
-            return stepError(kStep, placed.place, key + ": a text or a number is expected");
+            return stepError(kStep, source.location, key + ": a text or a number is expected");
         }
-        values[key] = placed;
+        values[key] = source;
     }
     return {};
 }
@@ -218,8 +219,8 @@
         const auto line = error.source().begin.line;
         return stepError(kStep, file + ":" + std::to_string(line), std::string(error.description()));
     }
-    std::map<std::string, Placed> values;
-    BOOST_LEAF_CHECK(collect(file, "", root, values));
+    std::map<std::string, SourceValue> values;
+    BOOST_LEAF_CHECK(collectValues(file, "", root, values));
     SidecarSettings settings;
     for (const auto& key : keys()) {
         const auto found = values.find(key.name);
--- a/src/adapters/sidecar_settings.h
+++ b/src/adapters/sidecar_settings.h
@@ -28,7 +28,7 @@
     SocketAddress store;
     std::vector<SocketAddress> seeds;  ///< Heartbeat addresses of other nodes; may be out of date.
     Duration heartbeat_interval = 1500ms;
-    decision::RepeatBound repeats{0.1, 10, 10s};
+    decision::RepeatBound retry_limit{0.1, 10, 10s};
     /// A revoked key runs nothing later than this after its revocation; zero: keys are not bound to that.
     Duration key_revocation{};
     Duration stop_grace = 6s;
--- a/src/adapters/socket_stream.cc
+++ b/src/adapters/socket_stream.cc
@@ -17,13 +17,13 @@
 /// Read at once at most; a loop has one thread, so all streams share the room.
 constexpr std::size_t kReadChunk = std::size_t{16} * 1024;
 /// A peer that acknowledges nothing for this long is gone (TCP_USER_TIMEOUT).
-constexpr std::chrono::milliseconds kLongestUnacknowledged{5000};
+constexpr std::chrono::milliseconds kUnacknowledgedTimeout{5000};
 
 bool isTransient(int error) {
     return error == EAGAIN || error == EWOULDBLOCK || error == EINTR;
 }
 
-void setOption(evutil_socket_t descriptor, int option, int value) {
+void setTcpOption(evutil_socket_t descriptor, int option, int value) {
     setsockopt(descriptor, IPPROTO_TCP, option, &value, sizeof value);
 }
 
@@ -39,16 +39,16 @@
 
 // Begin ----------------------------------------------------------------------
 
-void SocketStream::open(evutil_socket_t descriptor) {
+void SocketStream::initSocket(evutil_socket_t descriptor) {
     descriptor_ = descriptor;
-    setOption(descriptor, TCP_NODELAY, 1);
-    setOption(descriptor, TCP_USER_TIMEOUT, static_cast<int>(kLongestUnacknowledged.count()));
+    setTcpOption(descriptor, TCP_NODELAY, 1);
+    setTcpOption(descriptor, TCP_USER_TIMEOUT, static_cast<int>(kUnacknowledgedTimeout.count()));
     event_assign(&readable_, loop_.base(), descriptor, EV_READ | EV_PERSIST, &SocketStream::onSocketReadable, this);
     event_assign(&writable_, loop_.base(), descriptor, EV_WRITE | EV_PERSIST, &SocketStream::onSocketWritable, this);
 }
 
 void SocketStream::accept(evutil_socket_t descriptor) {
-    open(descriptor);
+    initSocket(descriptor);
     event_add(&readable_, nullptr);
 }
 
@@ -57,12 +57,12 @@
     if (descriptor < 0) {
         return false;
     }
-    open(descriptor);
+    initSocket(descriptor);
     if (::connect(descriptor, address, length) != 0 && errno != EINPROGRESS) {
         return false;
     }
     is_connecting_ = true;
-    watchWriting();
+    startWriteEvent();
     return true;
 }
 
@@ -71,12 +71,12 @@
     socklen_t length = sizeof error;
     getsockopt(descriptor_, SOL_SOCKET, SO_ERROR, &error, &length);
     if (error != 0) {
-        end(StreamEnd::kBroken);
+        fail(CloseReason::kError);
         return;
     }
     is_connecting_ = false;
     event_add(&readable_, nullptr);
-    if (unwritten() == 0) {
+    if (unsentBytes() == 0) {
         event_del(&writable_);
     }
     listener_.onConnected();
@@ -89,40 +89,40 @@
     const auto count = recv(descriptor_, chunk.data(), chunk.size(), 0);
     if (count < 0) {
         if (!isTransient(errno)) {
-            end(StreamEnd::kBroken);
+            fail(CloseReason::kError);
         }
         return;
     }
     if (count == 0) {
-        end(StreamEnd::kClosed);
+        fail(CloseReason::kEndOfStream);
         return;
     }
     const std::string_view bytes(chunk.data(), static_cast<std::size_t>(count));
     if (input_.empty()) {
-        offer(bytes);
+        deliver(bytes);
     } else {
         input_ += bytes;
-        offerAgain();
+        redeliver();
     }
 }
 
-void SocketStream::offer(std::string_view bytes) {
-    const auto taken = listener_.onBytes(bytes);
-    input_.assign(bytes.substr(taken));
-    watchReading();
+void SocketStream::deliver(std::string_view bytes) {
+    const auto consumed = listener_.onBytes(bytes);
+    input_.assign(bytes.substr(consumed));
+    updateReadEvent();
 }
 
-void SocketStream::offerAgain() {
+void SocketStream::redeliver() {
     const auto bytes = std::exchange(input_, {});
-    offer(bytes);
+    deliver(bytes);
 }
 
 /// The wait for bytes is given up while too many were not taken.
-void SocketStream::watchReading() {
-    if (has_ended_) {
+void SocketStream::updateReadEvent() {
+    if (is_stopped_) {
         return;
     }
-    const bool is_full = read_ahead_ > 0 && untaken() >= read_ahead_;
+    const bool is_full = read_ahead_ > 0 && unconsumedBytes() >= read_ahead_;
     const bool is_watching = event_pending(&readable_, EV_READ, nullptr) != 0;
     if (is_full && is_watching) {
         event_del(&readable_);
@@ -136,11 +136,11 @@
 /// An error is not told here: what was not sent stays in `output`, and the loop finds the socket
 /// broken when it comes to write it.
 void SocketStream::write(std::string_view head, std::string_view body) {
-    if (has_ended_ || descriptor_ < 0) {
+    if (is_stopped_ || descriptor_ < 0) {
         return;
     }
-    const bool is_first = !is_connecting_ && unwritten() == 0;
-    const auto sent = is_first ? send(head, body) : 0;
+    const bool can_send_now = !is_connecting_ && unsentBytes() == 0;
+    const auto sent = can_send_now ? send(head, body) : 0;
     if (sent == head.size() + body.size()) {
         return;
     }
@@ -148,7 +148,7 @@
     head.remove_prefix(from_head);
     body.remove_prefix(sent - from_head);
     output_.append(head).append(body);
-    watchWriting();
+    startWriteEvent();
 }
 
 std::size_t SocketStream::send(std::string_view head, std::string_view body) const {
@@ -161,7 +161,7 @@
     return count > 0 ? static_cast<std::size_t>(count) : 0;
 }
 
-void SocketStream::watchWriting() {
+void SocketStream::startWriteEvent() {
     if (event_pending(&writable_, EV_WRITE, nullptr) != 0) {
         return;
     }
@@ -170,17 +170,17 @@
 }
 
 void SocketStream::flush() {
-    const auto count = ::send(descriptor_, output_.data() + written_, unwritten(), MSG_NOSIGNAL);
+    const auto count = ::send(descriptor_, output_.data() + sent_, unsentBytes(), MSG_NOSIGNAL);
     if (count < 0) {
         if (!isTransient(errno)) {
-            end(StreamEnd::kBroken);
+            fail(CloseReason::kError);
         }
         return;
     }
-    written_ += static_cast<std::size_t>(count);
-    if (unwritten() == 0) {
+    sent_ += static_cast<std::size_t>(count);
+    if (unsentBytes() == 0) {
         output_.clear();
-        written_ = 0;
+        sent_ = 0;
         event_del(&writable_);
         listener_.onWritten();
     }
@@ -195,16 +195,16 @@
 // End ------------------------------------------------------------------------
 
 void SocketStream::stop() {
-    has_ended_ = true;
+    is_stopped_ = true;
     if (descriptor_ >= 0) {
         event_del(&readable_);
         event_del(&writable_);
     }
 }
 
-void SocketStream::end(StreamEnd how) {
+void SocketStream::fail(CloseReason reason) {
     stop();
-    listener_.onEnded(how);
+    listener_.onClosed(reason);
 }
 
 void SocketStream::onSocketReadable(evutil_socket_t, short, void* self) {
@@ -214,7 +214,7 @@
 void SocketStream::onSocketWritable(evutil_socket_t, short what, void* self) {
     auto* stream = static_cast<SocketStream*>(self);
     if ((what & EV_TIMEOUT) != 0) {
-        stream->end(StreamEnd::kStalled);
+        stream->fail(CloseReason::kWriteTimeout);
     } else if (stream->is_connecting_) {
         stream->finishConnecting();
     } else {
--- a/src/adapters/socket_stream.h
+++ b/src/adapters/socket_stream.h
@@ -19,10 +19,10 @@
 namespace dewcrank::adapters {
 
 /// How a stream has ended.
-enum class StreamEnd {
-    kClosed,   ///< The peer has closed its side, after all that was read.
-    kBroken,   ///< Reset, not connected, or a failure of the socket.
-    kStalled,  ///< The peer took nothing for the write timeout.
+enum class CloseReason {
+    kEndOfStream,   ///< The peer has closed its side, after all that was read.
+    kError,         ///< Reset, not connected, or a failure of the socket.
+    kWriteTimeout,  ///< The peer took nothing for the write timeout.
 };
 
 /// Owns a socket. Its listener is called from the loop only, never from inside a call to the
@@ -40,7 +40,7 @@
         /// The last byte that had to wait has been written. Not called if `write` could send all.
         virtual void onWritten() {}
         /// Called once; nothing follows it.
-        virtual void onEnded(StreamEnd end) = 0;
+        virtual void onClosed(CloseReason reason) = 0;
     };
 
     SocketStream(EventLoop& loop, Listener& listener) : loop_(loop), listener_(listener) {}
@@ -64,39 +64,39 @@
     /// Sends both parts, and keeps what the socket does not take.
     void write(std::string_view head, std::string_view body);
     /// Hands on again, now, what was read and not taken.
-    void offerAgain();
+    void redeliver();
     /// Nothing more is written: the peer sees the end.
     void closeWriting();
     /// The listener is not called any more.
     void stop();
-    [[nodiscard]] std::size_t untaken() const { return input_.size(); }
-    [[nodiscard]] std::size_t unwritten() const { return output_.size() - written_; }
+    [[nodiscard]] std::size_t unconsumedBytes() const { return input_.size(); }
+    [[nodiscard]] std::size_t unsentBytes() const { return output_.size() - sent_; }
 
 private:
-    void open(evutil_socket_t descriptor);
+    void initSocket(evutil_socket_t descriptor);
     void finishConnecting();
     void read();
-    void offer(std::string_view bytes);
-    void watchReading();
+    void deliver(std::string_view bytes);
+    void updateReadEvent();
     [[nodiscard]] std::size_t send(std::string_view head, std::string_view body) const;
-    void watchWriting();
+    void startWriteEvent();
     void flush();
-    void end(StreamEnd how);
+    void fail(CloseReason reason);
     static void onSocketReadable(evutil_socket_t descriptor, short what, void* self);
     static void onSocketWritable(evutil_socket_t descriptor, short what, void* self);
 
     EventLoop& loop_;
     Listener& listener_;
     evutil_socket_t descriptor_ = -1;
-    std::string input_;        ///< Read and not taken.
-    std::string output_;       ///< To be written, from `written_` on; empty when all is written.
-    std::size_t written_ = 0;  ///< At most the size of `output_`.
-    event readable_{};         ///< Pending while `read_ahead_` is not reached.
-    event writable_{};         ///< Pending while connecting, or while there is output.
+    std::string input_;     ///< Read and not taken.
+    std::string output_;    ///< To be written, from `written_` on; empty when all is written.
+    std::size_t sent_ = 0;  ///< At most the size of `output_`.
+    event readable_{};      ///< Pending while `read_ahead_` is not reached.
+    event writable_{};      ///< Pending while connecting, or while there is output.
     std::size_t read_ahead_ = 0;
     Duration write_timeout_{};
     bool is_connecting_ = false;
-    bool has_ended_ = false;
+    bool is_stopped_ = false;
 };
 
 }  // namespace dewcrank::adapters
--- a/tests/contract/event_loop_test.cc
+++ b/tests/contract/event_loop_test.cc
@@ -24,8 +24,8 @@
     suspended = {};
     adapters::EventLoop loop(kClocks);
     std::vector<int> fired;
-    Duration told{};
-    loop.signalWoken().connect([&](Duration lasted) { told += lasted; });
+    Duration reported{};
+    loop.signalWoken().connect([&](Duration lasted) { reported += lasted; });
     const auto before = loop.now();
     const auto due = loop.startTimer(std::chrono::minutes(30), [&] { fired.push_back(1); });
     const auto later = loop.startTimer(std::chrono::hours(1) + 50ms, [&] {
@@ -40,7 +40,7 @@
     loop.run();
     BOOST_TEST(fired == (std::vector<int>{1, 2}), boost::test_tools::per_element());
     BOOST_TEST((loop.now() - before == std::chrono::hours(1)));
-    BOOST_TEST((told == std::chrono::hours(1)));
+    BOOST_TEST((reported == std::chrono::hours(1)));
 }
 
 /// Without a suspension nothing is told, and a timer that is started in another's callback fires once.
--- a/tests/contract/http_client_test.cc
+++ b/tests/contract/http_client_test.cc
@@ -16,8 +16,8 @@
         HttpRequest request;
         request.method = method;
         request.path = "/x";
-        const auto attempt =
-            client.send(address, std::move(request), timeout, [&](AttemptResult ended) { result = std::move(ended); });
+        const auto attempt = client.send(address, std::move(request), timeout,
+                                         [&](AttemptResult received) { result = std::move(received); });
         BOOST_TEST(!result.has_value());  // Never from inside `send`.
         runUntil([&] { return result.has_value(); });
         return *result;
@@ -26,23 +26,23 @@
     adapters::HttpClient client{loop, adapters::HttpLimits{1024, 4096}};
 };
 
-const std::string kWhole = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
+const std::string kComplete = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
 }  // namespace
 
 BOOST_FIXTURE_TEST_SUITE(contract_http_client, ClientFixture)
 
-struct AnswerCase {
+struct ResponseCase {
     const char* name;
-    std::string answer;
-    bool closes;
+    std::string response;
+    bool close_after_response;
     AttemptOutcome expected;
 };
 
 BOOST_AUTO_TEST_CASE(only_whole_answers_are_answers) {
-    const AnswerCase cases[] = {
-        {"whole", kWhole, false, AttemptOutcome::kAnswered},
-        {"whole, then closed", kWhole, true, AttemptOutcome::kAnswered},
+    const ResponseCase cases[] = {
+        {"whole", kComplete, false, AttemptOutcome::kAnswered},
+        {"whole, then closed", kComplete, true, AttemptOutcome::kAnswered},
         {"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", false,
          AttemptOutcome::kAnswered},
         {"no content", "HTTP/1.1 204 No Content\r\n\r\n", false, AttemptOutcome::kAnswered},
@@ -58,7 +58,7 @@
         {"too large", "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n", false, AttemptOutcome::kUnknown},
     };
     for (const auto& entry : cases) {
-        tests::RawServer server(loop, entry.answer, entry.closes);
+        tests::RawServer server(loop, entry.response, entry.close_after_response);
         const auto result = call(server.address());
         BOOST_TEST((result.outcome == entry.expected), entry.name << ": " << result.reason);
         BOOST_TEST(server.requests() == 1, entry.name);
@@ -75,29 +75,30 @@
     HttpRequest request;
     request.method = "GET";
     request.path = "/";
-    const auto attempt = lenient.send(server.address(), request, 5s, [&](AttemptResult ended) { result = ended; });
+    const auto attempt =
+        lenient.send(server.address(), request, 5s, [&](AttemptResult received) { result = received; });
     runUntil([&] { return result.has_value(); });
     BOOST_TEST((result->outcome == AttemptOutcome::kAnswered));
     BOOST_TEST(result->answer.body == "hello");
 }
 
 BOOST_AUTO_TEST_CASE(bytes_behind_an_answer_spoil_the_connection) {
-    tests::RawServer server(loop, kWhole + kWhole, false);
+    tests::RawServer server(loop, kComplete + kComplete, false);
     BOOST_TEST((call(server.address()).outcome == AttemptOutcome::kAnswered));
-    server.setAnswer(kWhole, false);
+    server.setResponse(kComplete, false);
     BOOST_TEST(call(server.address()).answer.body == "hello");
     BOOST_TEST(server.connections() == 2);
 }
 
 BOOST_AUTO_TEST_CASE(a_refused_connection_is_proof_that_nothing_was_sent) {
     std::string address;
-    { address = tests::RawServer(loop, kWhole, false).address(); }
+    { address = tests::RawServer(loop, kComplete, false).address(); }
     BOOST_TEST((call(address).outcome == AttemptOutcome::kNotSent));
     BOOST_TEST((call("no address").outcome == AttemptOutcome::kNotSent));
 }
 
 BOOST_AUTO_TEST_CASE(connections_are_used_again) {
-    tests::RawServer server(loop, kWhole, false);
+    tests::RawServer server(loop, kComplete, false);
     for (int count = 0; count < 5; ++count) {
         BOOST_TEST((call(server.address()).outcome == AttemptOutcome::kAnswered));
     }
@@ -105,9 +106,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_request_on_a_connection_that_is_being_closed_is_not_sent_twice) {
-    tests::RawServer server(loop, kWhole, false);
+    tests::RawServer server(loop, kComplete, false);
     call(server.address());
-    server.setAnswer("", true);
+    server.setResponse("", true);
     const auto result = call(server.address(), 5s, "POST");
     BOOST_TEST((result.outcome == AttemptOutcome::kUnknown));
     runFor(100ms);
@@ -115,15 +116,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_timeout_is_unknown_and_its_late_answer_reaches_nobody) {
-    tests::RawServer silent(loop, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", false);
-    BOOST_TEST((call(silent.address(), 300ms).outcome == AttemptOutcome::kUnknown));
-    silent.setAnswer(kWhole, false);
-    BOOST_TEST(call(silent.address()).answer.body == "hello");
-    BOOST_TEST(silent.connections() == 2);  // The first one was not used again.
+    tests::RawServer unresponsive(loop, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", false);
+    BOOST_TEST((call(unresponsive.address(), 300ms).outcome == AttemptOutcome::kUnknown));
+    unresponsive.setResponse(kComplete, false);
+    BOOST_TEST(call(unresponsive.address()).answer.body == "hello");
+    BOOST_TEST(unresponsive.connections() == 2);  // The first one was not used again.
 }
 
 BOOST_AUTO_TEST_CASE(a_cancelled_attempt_never_calls_back) {
-    tests::RawServer server(loop, kWhole, false);
+    tests::RawServer server(loop, kComplete, false);
     HttpRequest request;
     request.method = "GET";
     request.path = "/";
--- a/tests/contract/http_server_test.cc
+++ b/tests/contract/http_server_test.cc
@@ -37,43 +37,44 @@
     std::string exchange(const std::string& bytes) {
         const int descriptor = connect();
         BOOST_REQUIRE(write(descriptor, bytes.data(), bytes.size()) == static_cast<ssize_t>(bytes.size()));
-        std::string answer;
+        std::string response;
         runUntil([&] {
             char buffer[4096];
             const auto count = recv(descriptor, buffer, sizeof buffer, MSG_DONTWAIT);
             if (count > 0) {
-                answer.append(buffer, static_cast<std::size_t>(count));
+                response.append(buffer, static_cast<std::size_t>(count));
             }
-            return count == 0 || answer.find("\r\n\r\n") != std::string::npos;
+            return count == 0 || response.find("\r\n\r\n") != std::string::npos;
         });
         close(descriptor);
-        return answer.substr(0, answer.find("\r\n"));
+        return response.substr(0, response.find("\r\n"));
     }
 
-    int seen = 0;
-    bool answers = true;
-    std::vector<std::shared_ptr<adapters::ServerExchange>> kept;
-    int callers_left = 0;
+    int received = 0;
+    bool reply_at_once = true;
+    std::vector<std::shared_ptr<adapters::ServerExchange>> pending;
+    int disconnected_clients = 0;
     adapters::SocketAddress address;
-    adapters::HttpServer server{loop, adapters::HttpLimits{1024, 4096}, 1s,
-                                [this](const HttpRequest&, const std::shared_ptr<adapters::ServerExchange>& open) {
-                                    ++seen;
-                                    if (answers) {
-                                        HttpAnswer answer;
-                                        answer.status = 200;
-                                        open->reply(answer);
-                                        return;
-                                    }
-                                    open->onCallerLeft([this] { ++callers_left; });
-                                    kept.push_back(open);
-                                }};
+    adapters::HttpServer server{
+        loop, adapters::HttpLimits{1024, 4096}, 1s,
+        [this](const HttpRequest&, const std::shared_ptr<adapters::ServerExchange>& server_exchange) {
+            ++received;
+            if (reply_at_once) {
+                HttpAnswer response;
+                response.status = 200;
+                server_exchange->reply(response);
+                return;
+            }
+            server_exchange->onCallerLeft([this] { ++disconnected_clients; });
+            pending.push_back(server_exchange);
+        }};
 };
 
 struct RequestCase {
     const char* name;
     std::string request;
     const char* status;  ///< Empty: closed without an answer.
-    int handed_on;
+    int expected_requests;
 };
 
 }  // namespace
@@ -112,35 +113,35 @@
         {"slow caller", "POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc", "", 0},
     };
     for (const auto& entry : cases) {
-        seen = 0;
+        received = 0;
         const auto line = exchange(entry.request);
         BOOST_TEST(line.find(entry.status) != std::string::npos, entry.name << ": " << line);
-        BOOST_TEST(seen == entry.handed_on, entry.name);
+        BOOST_TEST(received == entry.expected_requests, entry.name);
     }
 }
 
 BOOST_AUTO_TEST_CASE(a_caller_that_leaves_is_noticed_before_the_answer) {
-    answers = false;
+    reply_at_once = false;
     const int descriptor = connect();
     const std::string request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
     BOOST_REQUIRE(write(descriptor, request.data(), request.size()) > 0);
-    runUntil([&] { return seen == 1; });
+    runUntil([&] { return received == 1; });
     close(descriptor);
-    runUntil([&] { return callers_left == 1; });
-    kept.front()->reply(HttpAnswer{});  // Too late: ignored.
+    runUntil([&] { return disconnected_clients == 1; });
+    pending.front()->reply(HttpAnswer{});  // Too late: ignored.
 }
 
 BOOST_AUTO_TEST_CASE(requests_behind_each_other_are_answered_in_their_order) {
-    answers = false;
+    reply_at_once = false;
     const int descriptor = connect();
     const std::string requests = "GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\n";
     BOOST_REQUIRE(write(descriptor, requests.data(), requests.size()) > 0);
-    runUntil([&] { return seen == 2; });
-    for (const int number : {1, 0}) {
-        HttpAnswer answer;
-        answer.status = 200;
-        answer.body = number == 0 ? "first" : "second";
-        kept[static_cast<std::size_t>(number)]->reply(answer);
+    runUntil([&] { return received == 2; });
+    for (const int index : {1, 0}) {
+        HttpAnswer response;
+        response.status = 200;
+        response.body = index == 0 ? "first" : "second";
+        pending[static_cast<std::size_t>(index)]->reply(response);
     }
     std::string text;
     runUntil([&] {
@@ -156,7 +157,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_caller_that_leaves_is_noticed_behind_requests_that_wait) {
-    answers = false;
+    reply_at_once = false;
     const int descriptor = connect();
     const std::string request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
     std::string many;
@@ -164,40 +165,40 @@
         many += request;
     }
     BOOST_REQUIRE(write(descriptor, many.data(), many.size()) > 0);
-    runUntil([&] { return seen > 1; });
+    runUntil([&] { return received > 1; });
     close(descriptor);
-    runUntil([&] { return callers_left == seen; });
+    runUntil([&] { return disconnected_clients == received; });
 }
 
 BOOST_AUTO_TEST_CASE(idle_connections_are_closed_and_busy_ones_are_not) {
-    answers = false;
+    reply_at_once = false;
     const int idle = connect();
     const int busy = connect();
     const std::string request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
     BOOST_REQUIRE(write(busy, request.data(), request.size()) > 0);
-    runUntil([&] { return seen == 1 && server.openConnections() == 2; });
+    runUntil([&] { return received == 1 && server.openConnections() == 2; });
     server.closeIdle();
     char byte = 0;
     runUntil([&] { return recv(idle, &byte, 1, MSG_DONTWAIT) == 0; });
     BOOST_TEST(server.openConnections() == 1U);
-    HttpAnswer answer;
-    answer.status = 200;
-    kept.front()->reply(answer);
+    HttpAnswer response;
+    response.status = 200;
+    pending.front()->reply(response);
     runUntil([&] { return recv(busy, &byte, 1, MSG_DONTWAIT) == 1; });
     close(idle);
     close(busy);
 }
 
 BOOST_AUTO_TEST_CASE(a_stopping_server_closes_after_the_answer_and_takes_no_more) {
-    answers = false;
+    reply_at_once = false;
     const int descriptor = connect();
     const std::string request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
     BOOST_REQUIRE(write(descriptor, request.data(), request.size()) > 0);
-    runUntil([&] { return seen == 1; });
+    runUntil([&] { return received == 1; });
     server.stopAccepting();
-    HttpAnswer answer;
-    answer.status = 200;
-    kept.front()->reply(answer);
+    HttpAnswer response;
+    response.status = 200;
+    pending.front()->reply(response);
     std::string text;
     runUntil([&] {
         char buffer[4096];
--- a/tests/contract/raw_server.h
+++ b/tests/contract/raw_server.h
@@ -17,8 +17,8 @@
 /// Counts requests (by their blank line) and answers each with `answer`, then closes if told to.
 class RawServer {
 public:
-    RawServer(adapters::EventLoop& loop, std::string answer, bool closes)
-        : loop_(loop), answer_(std::move(answer)), closes_(closes) {
+    RawServer(adapters::EventLoop& loop, std::string response, bool close_after_response)
+        : loop_(loop), response_(std::move(response)), close_after_response_(close_after_response) {
         sockaddr_in address{};
         address.sin_family = AF_INET;
         address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -40,9 +40,9 @@
     [[nodiscard]] const std::string& address() const { return address_; }
     [[nodiscard]] int requests() const { return requests_; }
     [[nodiscard]] int connections() const { return connections_; }
-    void setAnswer(std::string answer, bool closes) {
-        answer_ = std::move(answer);
-        closes_ = closes;
+    void setResponse(std::string response, bool close_after_response) {
+        response_ = std::move(response);
+        close_after_response_ = close_after_response;
     }
 
 private:
@@ -62,26 +62,26 @@
         }
         evbuffer_drain(input, evbuffer_get_length(input));
         ++server->requests_;
-        if (server->answer_.empty()) {
-            server->drop(stream);
+        if (server->response_.empty()) {
+            server->closeConnection(stream);
             return;
         }
-        bufferevent_write(stream, server->answer_.data(), server->answer_.size());
+        bufferevent_write(stream, server->response_.data(), server->response_.size());
     }
     static void onWritten(bufferevent* stream, void* self) {
         auto* server = static_cast<RawServer*>(self);
-        if (server->closes_ && server->requests_ > 0) {
-            server->drop(stream);
+        if (server->close_after_response_ && server->requests_ > 0) {
+            server->closeConnection(stream);
         }
     }
-    void drop(bufferevent* stream) {
+    void closeConnection(bufferevent* stream) {
         streams_.erase(stream);
         bufferevent_free(stream);
     }
 
     adapters::EventLoop& loop_;
-    std::string answer_;
-    bool closes_;
+    std::string response_;
+    bool close_after_response_;
     evconnlistener* listener_;
     std::string address_;
     int requests_ = 0;
--- a/tests/contract/store_contract_test.cc
+++ b/tests/contract/store_contract_test.cc
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr Duration kWatchWait = 200ms;
+constexpr Duration kWatchTimeout = 200ms;
 
 nlohmann::json configOf(const std::string& version) {
     return {
@@ -121,19 +121,20 @@
     body(model);
 }
 
-std::optional<TableRead> readTable(StoreUnderTest& it) {
+std::optional<TableRead> readTable(StoreUnderTest& fixture) {
     std::optional<std::optional<TableRead>> read;
-    it.store().readTable([&](std::optional<TableRead> answer) { read = std::move(answer); });
-    it.runUntil([&] { return read.has_value(); });
+    fixture.store().readTable([&](std::optional<TableRead> result) { read = std::move(result); });
+    fixture.runUntil([&] { return read.has_value(); });
     return *read;
 }
 
-std::optional<TableRead> watchTable(StoreUnderTest& it, std::uint64_t revision,
+std::optional<TableRead> watchTable(StoreUnderTest& fixture, std::uint64_t revision,
                                     const std::function<void()>& meanwhile) {
     std::optional<std::optional<TableRead>> read;
-    it.store().watchTable(revision, kWatchWait, [&](std::optional<TableRead> answer) { read = std::move(answer); });
+    fixture.store().watchTable(revision, kWatchTimeout,
+                               [&](std::optional<TableRead> result) { read = std::move(result); });
     meanwhile();
-    it.runUntil([&] { return read.has_value(); });
+    fixture.runUntil([&] { return read.has_value(); });
     return *read;
 }
 
@@ -142,28 +143,28 @@
 BOOST_AUTO_TEST_SUITE(contract_store)
 
 BOOST_AUTO_TEST_CASE(the_table_is_read_and_watched) {
-    forEachStore([](StoreUnderTest& it) {
-        auto read = readTable(it);
+    forEachStore([](StoreUnderTest& fixture) {
+        auto read = readTable(fixture);
         BOOST_REQUIRE(read.has_value());
         BOOST_TEST(!read->table.has_value());
-        const auto changed = watchTable(it, read->revision, [&] { it.putTable(7); });
+        const auto changed = watchTable(fixture, read->revision, [&] { fixture.putTable(7); });
         BOOST_REQUIRE(changed.has_value());
         BOOST_REQUIRE(changed->table.has_value());
         BOOST_TEST(changed->table->version() == 7U);
-        const auto unchanged = watchTable(it, changed->revision, [] {});
+        const auto unchanged = watchTable(fixture, changed->revision, [] {});
         BOOST_REQUIRE(unchanged.has_value());
         BOOST_TEST(!unchanged->table.has_value());
-        BOOST_TEST(readTable(it)->table->version() == 7U);
+        BOOST_TEST(readTable(fixture)->table->version() == 7U);
     });
 }
 
 BOOST_AUTO_TEST_CASE(a_watch_from_before_the_history_says_so) {
-    forEachStore([](StoreUnderTest& it) {
-        it.putTable(1);
-        const auto revision = readTable(it)->revision;
-        it.putTable(2);
-        it.forgetHistory();
-        const auto read = watchTable(it, revision, [] {});
+    forEachStore([](StoreUnderTest& fixture) {
+        fixture.putTable(1);
+        const auto revision = readTable(fixture)->revision;
+        fixture.putTable(2);
+        fixture.forgetHistory();
+        const auto read = watchTable(fixture, revision, [] {});
         BOOST_REQUIRE(read.has_value());
         BOOST_TEST(read->revision == 0U);
         BOOST_TEST(!read->table.has_value());
@@ -171,65 +172,65 @@
 }
 
 BOOST_AUTO_TEST_CASE(nodes_are_announced_listed_and_withdrawn) {
-    forEachStore([](StoreUnderTest& it) {
+    forEachStore([](StoreUnderTest& fixture) {
         int done = 0;
-        const auto count = [&](bool is_done) { done += is_done ? 1 : 0; };
+        const auto countDone = [&](bool is_done) { done += is_done ? 1 : 0; };
         std::optional<std::vector<NodeAddress>> listed;
-        const auto list = [&] {
+        const auto refresh = [&] {
             listed.reset();
-            it.store().listNodes(Freshness::kNewest,
-                                 [&](const std::optional<std::vector<NodeAddress>>& nodes) { listed = nodes; });
-            it.runUntil([&] { return listed.has_value(); });
+            fixture.store().listNodes(Freshness::kNewest,
+                                      [&](const std::optional<std::vector<NodeAddress>>& nodes) { listed = nodes; });
+            fixture.runUntil([&] { return listed.has_value(); });
         };
-        it.store().announce({"a", "north", "10.0.0.1:1"}, count);
-        it.runUntil([&] { return done == 1; });
-        it.store().announce({"b", "east", "10.0.0.2:1"}, count);
-        it.runUntil([&] { return done == 2; });
-        it.store().announce({"a", "north", "10.0.0.9:1"}, count);  // At another address now.
-        it.runUntil([&] { return done == 3; });
-        list();
+        fixture.store().announce({"a", "north", "10.0.0.1:1"}, countDone);
+        fixture.runUntil([&] { return done == 1; });
+        fixture.store().announce({"b", "east", "10.0.0.2:1"}, countDone);
+        fixture.runUntil([&] { return done == 2; });
+        fixture.store().announce({"a", "north", "10.0.0.9:1"}, countDone);  // At another address now.
+        fixture.runUntil([&] { return done == 3; });
+        refresh();
         BOOST_REQUIRE(listed->size() == 2U);
         BOOST_TEST(listed->at(0).address == "10.0.0.9:1");
         BOOST_TEST(listed->at(1).zone == "east");
-        it.store().withdraw("a", count);
-        it.runUntil([&] { return done == 4; });
-        list();
+        fixture.store().withdraw("a", countDone);
+        fixture.runUntil([&] { return done == 4; });
+        refresh();
         BOOST_REQUIRE(listed->size() == 1U);
         BOOST_TEST(listed->at(0).name == "b");
     });
 }
 
 BOOST_AUTO_TEST_CASE(a_store_that_is_away_gives_nothing) {
-    forEachStore([](StoreUnderTest& it) {
-        it.putTable(1);
-        it.setDown(true);
-        BOOST_TEST(!readTable(it).has_value());
+    forEachStore([](StoreUnderTest& fixture) {
+        fixture.putTable(1);
+        fixture.setDown(true);
+        BOOST_TEST(!readTable(fixture).has_value());
         std::optional<bool> announced;
-        it.store().announce({"a", "north", "10.0.0.1:1"}, [&](bool is_done) { announced = is_done; });
-        it.runUntil([&] { return announced.has_value(); });
+        fixture.store().announce({"a", "north", "10.0.0.1:1"}, [&](bool is_done) { announced = is_done; });
+        fixture.runUntil([&] { return announced.has_value(); });
         BOOST_TEST(!*announced);
-        it.setDown(false);
-        BOOST_TEST(readTable(it)->table->version() == 1U);
+        fixture.setDown(false);
+        BOOST_TEST(readTable(fixture)->table->version() == 1U);
     });
 }
 
 BOOST_AUTO_TEST_CASE(a_store_that_is_back_from_a_copy_says_so_and_has_lost_what_came_after) {
-    forEachStore([](StoreUnderTest& it) {
-        it.putTable(1);
-        const auto before = readTable(it);
-        const auto era = it.store().era();
+    forEachStore([](StoreUnderTest& fixture) {
+        fixture.putTable(1);
+        const auto before = readTable(fixture);
+        const auto era = fixture.store().era();
         BOOST_TEST(era > 0U);
-        it.saveCopy();
-        it.putTable(2);
-        const auto lost = readTable(it);
+        fixture.saveCopy();
+        fixture.putTable(2);
+        const auto lost = readTable(fixture);
         BOOST_TEST(lost->revision > before->revision);
-        it.returnFromCopy();
-        const auto read = readTable(it);
+        fixture.returnFromCopy();
+        const auto read = readTable(fixture);
         BOOST_REQUIRE(read.has_value());
-        BOOST_TEST(it.store().era() == era + 1);
+        BOOST_TEST(fixture.store().era() == era + 1);
         BOOST_TEST(read->table->version() == 1U);
         BOOST_TEST(read->revision == before->revision);
-        const auto unknown = watchTable(it, lost->revision, [] {});  // A revision that it does not have.
+        const auto unknown = watchTable(fixture, lost->revision, [] {});  // A revision that it does not have.
         BOOST_REQUIRE(unknown.has_value());
         BOOST_TEST(unknown->revision == 0U);
     });
@@ -240,7 +241,7 @@
 struct ConfigFixture : PlatformStore {
     std::optional<StoredTable> read() {
         std::optional<std::optional<StoredTable>> stored;
-        config->read([&](std::optional<StoredTable> answer) { stored = std::move(answer); });
+        config->read([&](std::optional<StoredTable> result) { stored = std::move(result); });
         PlatformStore::runUntil([&] { return stored.has_value(); });
         return *stored;
     }
--- a/tests/unit/adapters/bounded_log_test.cc
+++ b/tests/unit/adapters/bounded_log_test.cc
@@ -8,10 +8,10 @@
 
 BOOST_AUTO_TEST_SUITE(unit_adapters_bounded_log)
 
-BOOST_AUTO_TEST_CASE(routine_lines_never_take_the_room_of_others_and_what_is_left_out_is_counted) {
+BOOST_AUTO_TEST_CASE(routine_lines_never_use_the_limit_of_others_and_dropped_lines_are_counted) {
     tests::VirtualTime time;
-    tests::RecordingLog inner;
-    adapters::BoundedLog log(time.clock, inner, {"routine"}, {3, 5});
+    tests::RecordingLog output;
+    adapters::BoundedLog log(time.clock, output, {"routine"}, {3, 5});
     time.advance(10s);
     for (int count = 0; count < 100; ++count) {
         log.write(Event("routine"));
@@ -19,17 +19,17 @@
     for (int count = 0; count < 7; ++count) {
         log.write(Event("failure"));
     }
-    BOOST_TEST(inner.lines.size() == 8U);
+    BOOST_TEST(output.lines.size() == 8U);
     time.advance(1s);
     log.write(Event("failure"));
-    BOOST_TEST(inner.lines.size() == 10U);
-    BOOST_TEST(inner.lines[8] == "event=events_left_out count=99");
+    BOOST_TEST(output.lines.size() == 10U);
+    BOOST_TEST(output.lines[8] == "event=events_left_out count=99");
 }
 
-BOOST_AUTO_TEST_CASE(an_event_that_finds_no_room_is_counted_though_it_was_never_put_together) {
+BOOST_AUTO_TEST_CASE(an_event_over_the_limit_is_counted_though_it_was_never_built) {
     tests::VirtualTime time;
-    tests::RecordingLog inner;
-    adapters::BoundedLog log(time.clock, inner, {"routine"}, {2, 5});
+    tests::RecordingLog output;
+    adapters::BoundedLog log(time.clock, output, {"routine"}, {2, 5});
     time.advance(10s);
     for (int count = 0; count < 10; ++count) {
         if (log.takes("routine")) {
@@ -37,10 +37,10 @@
         }
     }
     BOOST_TEST(log.takes("failure"));
-    BOOST_TEST(inner.lines.size() == 2U);
+    BOOST_TEST(output.lines.size() == 2U);
     time.advance(1s);
     BOOST_TEST(log.takes("routine"));
-    BOOST_TEST(inner.lines.at(2) == "event=events_left_out count=8");
+    BOOST_TEST(output.lines.at(2) == "event=events_left_out count=8");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/adapters/http_parser_fuzz_test.cc
+++ b/tests/unit/adapters/http_parser_fuzz_test.cc
@@ -24,7 +24,7 @@
     "POST /p HTTP/1.1\r\nHost: h.example\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
     "GET /1 HTTP/1.1\r\nHost: h.example\r\nConnection: close\r\n\r\nGET /2 HTTP/1.1\r\nHost: h.example\r\n\r\n",
 };
-const std::vector<std::string> kAnswers = {
+const std::vector<std::string> kResponses = {
     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Id: 1\r\n\r\nok",
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
     "HTTP/1.1 503 No\r\nContent-Length: 0\r\nRetry-After: 1\r\n\r\n",
@@ -80,45 +80,45 @@
 }
 
 void checkRequest(const std::string& text) {
-    HttpMessageParser whole(HttpMessageParser::Kind::kRequest, kLimits);
-    HttpMessageParser pieces(HttpMessageParser::Kind::kRequest, kLimits);
-    whole.reset();
-    pieces.reset();
-    const auto seen = feed(whole, text, text.size());
-    const auto seen_by_byte = feed(pieces, text, 1);
-    BOOST_REQUIRE_MESSAGE((seen.state == State::kComplete) == (seen_by_byte.state == State::kComplete), text);
-    if (seen.state != State::kComplete) {
+    HttpMessageParser at_once(HttpMessageParser::Kind::kRequest, kLimits);
+    HttpMessageParser by_byte(HttpMessageParser::Kind::kRequest, kLimits);
+    at_once.reset();
+    by_byte.reset();
+    const auto result = feed(at_once, text, text.size());
+    const auto result_by_byte = feed(by_byte, text, 1);
+    BOOST_REQUIRE_MESSAGE((result.state == State::kComplete) == (result_by_byte.state == State::kComplete), text);
+    if (result.state != State::kComplete) {
         return;
     }
-    BOOST_REQUIRE_MESSAGE(seen.consumed == seen_by_byte.consumed, text);
-    const auto request = whole.takeRequest();
-    BOOST_REQUIRE_MESSAGE(request.body == pieces.takeRequest().body, text);
+    BOOST_REQUIRE_MESSAGE(result.consumed == result_by_byte.consumed, text);
+    const auto request = at_once.takeRequest();
+    BOOST_REQUIRE_MESSAGE(request.body == by_byte.takeRequest().body, text);
     const auto head =
         adapters::writeHead(request.method + " " + request.path + " HTTP/1.1", withoutFraming(request.headers),
                             {static_cast<long long>(request.body.size()), false, {}});
     HttpMessageParser next(HttpMessageParser::Kind::kRequest, {std::size_t{64} * 1024, 4096});
     next.reset();
     const auto forwarded = head + request.body;
-    const auto seen_next = feed(next, forwarded, forwarded.size());
-    BOOST_REQUIRE_MESSAGE(seen_next.state == State::kComplete, text);
-    BOOST_REQUIRE_MESSAGE(seen_next.consumed == forwarded.size(), text);
-    const auto again = next.takeRequest();
-    BOOST_REQUIRE_MESSAGE(again.path == request.path && again.method == request.method, text);
-    BOOST_REQUIRE_MESSAGE(again.body == request.body, text);
-    BOOST_REQUIRE_MESSAGE(textOf(withoutFraming(again.headers)) == textOf(withoutFraming(request.headers)), text);
+    const auto result_next = feed(next, forwarded, forwarded.size());
+    BOOST_REQUIRE_MESSAGE(result_next.state == State::kComplete, text);
+    BOOST_REQUIRE_MESSAGE(result_next.consumed == forwarded.size(), text);
+    const auto reparsed = next.takeRequest();
+    BOOST_REQUIRE_MESSAGE(reparsed.path == request.path && reparsed.method == request.method, text);
+    BOOST_REQUIRE_MESSAGE(reparsed.body == request.body, text);
+    BOOST_REQUIRE_MESSAGE(textOf(withoutFraming(reparsed.headers)) == textOf(withoutFraming(request.headers)), text);
 }
 
-void checkAnswer(const std::string& text) {
-    HttpMessageParser whole(HttpMessageParser::Kind::kAnswer, kLimits);
-    HttpMessageParser pieces(HttpMessageParser::Kind::kAnswer, kLimits);
-    whole.reset();
-    pieces.reset();
-    const auto seen = feed(whole, text, text.size());
-    const auto seen_by_byte = feed(pieces, text, 1);
-    BOOST_REQUIRE_MESSAGE((seen.state == State::kComplete) == (seen_by_byte.state == State::kComplete), text);
-    if (seen.state == State::kComplete) {
-        BOOST_REQUIRE_MESSAGE(seen.consumed == seen_by_byte.consumed, text);
-        BOOST_REQUIRE_MESSAGE(whole.takeAnswer().body == pieces.takeAnswer().body, text);
+void checkResponse(const std::string& text) {
+    HttpMessageParser at_once(HttpMessageParser::Kind::kResponse, kLimits);
+    HttpMessageParser by_byte(HttpMessageParser::Kind::kResponse, kLimits);
+    at_once.reset();
+    by_byte.reset();
+    const auto result = feed(at_once, text, text.size());
+    const auto result_by_byte = feed(by_byte, text, 1);
+    BOOST_REQUIRE_MESSAGE((result.state == State::kComplete) == (result_by_byte.state == State::kComplete), text);
+    if (result.state == State::kComplete) {
+        BOOST_REQUIRE_MESSAGE(result.consumed == result_by_byte.consumed, text);
+        BOOST_REQUIRE_MESSAGE(at_once.takeResponse().body == by_byte.takeResponse().body, text);
     }
 }
 
@@ -139,7 +139,7 @@
     for (const auto seed : kSeeds) {
         tests::Mutator mutator(seed, kFragments);
         for (int round = 0; round < kRounds; ++round) {
-            checkAnswer(mutator.mutated(kAnswers[mutator.below(kAnswers.size())]));
+            checkResponse(mutator.mutated(kResponses[mutator.below(kResponses.size())]));
         }
     }
 }
--- a/tests/unit/adapters/sidecar_settings_test.cc
+++ b/tests/unit/adapters/sidecar_settings_test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-const std::string kGood = R"(name = "n1"
+const std::string kValidSettings = R"(name = "n1"
 zone = "z"
 service = "s"
 [listen]
@@ -43,7 +43,7 @@
 BOOST_AUTO_TEST_SUITE(unit_adapters_sidecar_settings)
 
 BOOST_AUTO_TEST_CASE(good_settings_are_read_and_empty_ones_keep_their_default) {
-    const SettingsFile file(kGood + "[retries]\nratio = \"0.25\"\nslack = \"\"\nwindow_s = 7\n");
+    const SettingsFile file(kValidSettings + "[retries]\nratio = \"0.25\"\nslack = \"\"\nwindow_s = 7\n");
     adapters::SidecarSettings settings;
     const auto error = tests::errorOf([&]() -> Result<int> {
         BOOST_LEAF_ASSIGN(settings, adapters::readSidecarSettings(file.path));
@@ -51,9 +51,9 @@
     });
     BOOST_TEST(error == "");
     BOOST_TEST(settings.nodes.text() == "10.0.0.1:2");
-    BOOST_TEST(settings.repeats.ratio == 0.25);
-    BOOST_TEST(settings.repeats.slack == 10);
-    BOOST_TEST((settings.repeats.window == 7s));
+    BOOST_TEST(settings.retry_limit.ratio == 0.25);
+    BOOST_TEST(settings.retry_limit.slack == 10);
+    BOOST_TEST((settings.retry_limit.window == 7s));
     BOOST_TEST(adapters::describeSidecarSettings(settings).find("store.address = 10.0.0.2:6") != std::string::npos);
 }
 
@@ -63,19 +63,19 @@
         const char* expected;
     } cases[] = {
         {"name = \"n\"\n", "is missing"},
-        {kGood + "[retries]\nratio = \"x\"\n",
+        {kValidSettings + "[retries]\nratio = \"x\"\n",
          "sidecar-settings-test.toml:14: retries.ratio: 'x' is not a number from 0"},
-        {kGood + "[retries]\nratio = 3\n", "is not a number from 0 to 1"},
-        {kGood + "[retries]\nodd = 3\n", "sidecar-settings-test.toml:14: retries.odd: unknown key"},
-        {kGood + "[stop]\ngrace_s = true\n", "a text or a number is expected"},
-        {"name = \"\"\n" + kGood.substr(kGood.find('\n') + 1), "name: must not be empty"},
+        {kValidSettings + "[retries]\nratio = 3\n", "is not a number from 0 to 1"},
+        {kValidSettings + "[retries]\nodd = 3\n", "sidecar-settings-test.toml:14: retries.odd: unknown key"},
+        {kValidSettings + "[stop]\ngrace_s = true\n", "a text or a number is expected"},
+        {"name = \"\"\n" + kValidSettings.substr(kValidSettings.find('\n') + 1), "name: must not be empty"},
         {"name = \"n\"\nzone\n", "sidecar-settings-test.toml:2"},
     };
     for (const auto& entry : cases) {
         const auto error = errorIn(entry.text);
         BOOST_TEST(error.find(entry.expected) != std::string::npos, error);
     }
-    auto bad_address = kGood;
+    auto bad_address = kValidSettings;
     bad_address.replace(bad_address.find("10.0.0.1:2"), 10, "localhost:");
     BOOST_TEST(errorIn(bad_address).find("listen.nodes: 'localhost:' is not ip:port") != std::string::npos);
 }
