--- a/apps/sidecar/sidecar_daemon.cc
+++ b/apps/sidecar/sidecar_daemon.cc
@@ -29,16 +29,16 @@
 
 adapters::ClientOptions nodeClient() {
     adapters::ClientOptions options;
-    options.idle_per_address = kMostIdle;
-    options.longest_idle = kNodeIdle - 5s;
+    options.max_idle_per_address = kMostIdle;
+    options.max_idle_time = kNodeIdle - 5s;
     return options;
 }
 
 adapters::ClientOptions instanceClient(const HeaderNames& names) {
     adapters::ClientOptions options;
     options.accepts_close_delimited = true;
-    options.idle_per_address = kMostIdle;
-    options.longest_idle = kInstanceIdle;
+    options.max_idle_per_address = kMostIdle;
+    options.max_idle_time = kInstanceIdle;
     options.echoed_header = names.request_id;
     return options;
 }
@@ -85,7 +85,7 @@
         result.seeds.push_back(seed.text());
     }
     result.header_names = platform_.header_names;
-    result.knobs.relay.repeats = settings_.repeats;
+    result.knobs.relay.repeats = settings_.retry_limit;
     result.knobs.table_lease.revocation = settings_.key_revocation;
     result.knobs.longest_stop = settings_.stop_grace - kStopMargin;
     return result;
@@ -107,7 +107,7 @@
     loop_.onSignal(SIGTERM, [this] { onTerminate(); });
     loop_.onSignal(SIGINT, [this] { onTerminate(); });
     loop_.onSignal(SIGHUP, [this] { onReload(); });
-    loop_.signalWoken().connect([this](Duration suspended) { node_.onWoken(suspended); });
+    loop_.signalResumed().connect([this](Duration suspended) { node_.onWoken(suspended); });
     log_.write(Event("node_started")
                    .with("name", settings_.name)
                    .with("zone", settings_.zone)
@@ -124,14 +124,14 @@
     if (node_.isStopping()) {
         return;
     }
-    callers_.closeAfterAnswers();
+    callers_.closeAfterResponses();
     node_.stop(
         [this] {
             callers_.stopAccepting();
-            callers_.closeIdle();
+            callers_.closeIdleConnections();
         },
         [this] {
-            callers_.closeIdle();
+            callers_.closeIdleConnections();
             flush_timer_ = loop_.startTimer(kFlushTime, [this] { loop_.stop(); });
         });
 }
@@ -179,7 +179,7 @@
 
 void SidecarDaemon::watch(const Exchange& exchange, sidecar::SidecarNode::CallNumber number) {
     if (number != 0) {
-        exchange->onCallerLeft([this, number] { node_.callerLeft(number); });
+        exchange->onClientDisconnected([this, number] { node_.callerLeft(number); });
     }
 }
 
@@ -190,11 +190,11 @@
 }
 
 void SidecarDaemon::onMetricsRequest(const Exchange& exchange) {
-    adapters::AdapterFigures figures;
+    adapters::AdapterStats figures;
     figures.caller_connections = callers_.openConnections();
     figures.instance_connections = instances_.openConnections();
-    figures.instance_connections_begun = instances_.connectionsBegun();
-    figures.heartbeats_refused = heartbeats_refused_;
+    figures.instance_connections_total = instances_.totalConnections();
+    figures.heartbeats_rejected = heartbeats_refused_;
     figures.log_lines_dropped = adapters::ProcessLog::droppedLines();
     HttpAnswer answer;
     answer.status = kHttpOk;
--- a/apps/sidecar/sidecar_daemon.h
+++ b/apps/sidecar/sidecar_daemon.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "src/adapters/bounded_log.h"
+#include "src/adapters/rate_limited_log.h"
 #include "src/adapters/event_loop.h"
 #include "src/adapters/http_client.h"
 #include "src/adapters/http_server.h"
@@ -55,7 +55,7 @@
     std::string settings_file_;
     adapters::EventLoop loop_;
     adapters::ProcessLog process_log_;
-    adapters::BoundedLog log_;
+    adapters::RateLimitedLog log_;
     adapters::SidecarMetrics metrics_;
     adapters::SeededRandom random_;
     adapters::HttpClient nodes_;
--- a/src/adapters/client_connection.cc
+++ b/src/adapters/client_connection.cc
@@ -128,7 +128,7 @@
         }
         return;
     }
-    max_idle_time_ = peerIdleTime(response.headers, client_.options_.longest_idle);
+    max_idle_time_ = peerIdleTime(response.headers, client_.options_.max_idle_time);
     std::exchange(listener_, nullptr)->onResponse(std::move(response));
 }
 
--- a/src/adapters/event_loop.h
+++ b/src/adapters/event_loop.h
@@ -45,7 +45,7 @@
     void stop();
     [[nodiscard]] event_base* base() const { return base_; }
     /// Emitted from the loop with the time for which the machine was suspended.
-    sigc::signal<void(Duration)>& signalWoken() { return signal_resumed_; }
+    sigc::signal<void(Duration)>& signalResumed() { return signal_resumed_; }
 
 private:
     struct SignalHandler;
--- a/src/adapters/http_client.cc
+++ b/src/adapters/http_client.cc
@@ -126,7 +126,7 @@
 
 void HttpClient::keepConnection(std::unique_ptr<ClientConnection> connection) {
     auto& idle = idle_[connection->address()];
-    if (idle.size() >= options_.idle_per_address) {
+    if (idle.size() >= options_.max_idle_per_address) {
         destroyLater(std::move(connection));
         return;
     }
--- a/src/adapters/http_client.h
+++ b/src/adapters/http_client.h
@@ -20,9 +20,9 @@
     /// Take an answer that is delimited by the clean end of its connection as whole. A reset
     /// always spoils it.
     bool accepts_close_delimited = false;
-    std::size_t idle_per_address = 64;
+    std::size_t max_idle_per_address = 64;
     /// Idle connections are not used again after this time, or the peer's own if that is less.
-    Duration longest_idle = kLongestIdle;
+    Duration max_idle_time = kLongestIdle;
     /// Header that an answer echoes from its request. An answer with another value belongs to
     /// an earlier request: it is dropped, and the next one is awaited. Empty: not checked.
     std::string echoed_header;
@@ -44,7 +44,7 @@
                                      Callback callback) override;
     [[nodiscard]] std::size_t openConnections() const { return open_connections_; }
     /// Connections that were ever begun.
-    [[nodiscard]] std::uint64_t connectionsBegun() const { return total_connections_; }
+    [[nodiscard]] std::uint64_t totalConnections() const { return total_connections_; }
 
 private:
     friend class ClientConnection;
--- a/src/adapters/http_server.cc
+++ b/src/adapters/http_server.cc
@@ -41,7 +41,7 @@
     connection_->onReplied();
 }
 
-void ServerExchange::onCallerLeft(std::function<void()> callback) {
+void ServerExchange::onClientDisconnected(std::function<void()> callback) {
     if (connection_ != nullptr && !is_replied_) {
         on_client_disconnected_ = std::move(callback);
     }
@@ -96,7 +96,7 @@
     }
 }
 
-void HttpServer::closeIdle() {
+void HttpServer::closeIdleConnections() {
     const auto connections = connections_;
     for (auto* connection : connections) {
         if (connection->isIdle()) {
--- a/src/adapters/http_server.h
+++ b/src/adapters/http_server.h
@@ -32,7 +32,7 @@
 
     void reply(HttpAnswer response);
     /// Calls back once if the caller closes its connection before the answer.
-    void onCallerLeft(std::function<void()> callback);
+    void onClientDisconnected(std::function<void()> callback);
     /// Closes the connection without any answer, as a failing server would.
     void abort();
 
@@ -71,10 +71,10 @@
     /// Applies to requests and connections that begin from now on.
     void setLimits(HttpLimits limits, ServerTimeouts timeouts);
     /// Closes each open connection after its next answer; further ones are still accepted.
-    void closeAfterAnswers() { close_after_response_ = true; }
+    void closeAfterResponses() { close_after_response_ = true; }
     /// Closes the connections on which no request waits for its answer; what they have sent
     /// since is not read.
-    void closeIdle();
+    void closeIdleConnections();
     /// Takes no further connections, and closes each open one after its next answer.
     void stopAccepting();
     [[nodiscard]] std::size_t openConnections() const { return connections_.size(); }
--- a/src/adapters/json_fields.h
+++ b/src/adapters/json_fields.h
@@ -14,21 +14,21 @@
 namespace dewcrank::adapters {
 
 /// All throw std::invalid_argument with the field's name and what is expected of it.
-[[noreturn]] void refuseField(const std::string& field, const char* expected);
-const nlohmann::json& objectIn(const nlohmann::json& parent, const char* field);
+[[noreturn]] void throwFieldError(const std::string& field, const char* expected);
+const nlohmann::json& requireObject(const nlohmann::json& parent, const char* field);
 /// Not empty.
-std::string textIn(const nlohmann::json& object, const char* field);
+std::string requireString(const nlohmann::json& object, const char* field);
 /// A whole number from `least` to `most`; a fraction is none, neither is a truth value.
-std::uint64_t wholeIn(const nlohmann::json& object, const char* field, std::uint64_t min, std::uint64_t max);
+std::uint64_t requireInteger(const nlohmann::json& object, const char* field, std::uint64_t min, std::uint64_t max);
 /// Zero or more.
-double numberIn(const nlohmann::json& object, const char* field);
+double requireNumber(const nlohmann::json& object, const char* field);
 
 /// Whole numbers stay whole.
-nlohmann::json numberOf(double value);
+nlohmann::json jsonNumber(double value);
 
 /// Runs a translation; a document of another form than it expects gives nothing.
 template <typename Value, typename Translate>
-std::optional<Value> translated(Translate translate) {
+std::optional<Value> tryParse(Translate translate) {
     try {
         return translate();
     } catch (const nlohmann::json::exception&) {
@@ -40,10 +40,10 @@
 
 /// The items of a list that can be read: one of another writer leaves the others usable.
 template <typename Value, typename Translate>
-std::vector<Value> readItems(const nlohmann::json& items, Translate translate) {
+std::vector<Value> tryParseItems(const nlohmann::json& items, Translate translate) {
     std::vector<Value> values;
     for (const auto& item : items) {
-        if (auto value = translated<Value>([&] { return translate(item); })) {
+        if (auto value = tryParse<Value>([&] { return translate(item); })) {
             values.push_back(std::move(*value));
         }
     }
--- a/src/adapters/bounded_log.cc
+++ b/src/adapters/rate_limited_log.cc
@@ -1,32 +1,32 @@
-#include "src/adapters/bounded_log.h"
+#include "src/adapters/rate_limited_log.h"
 
 #include <utility>
 
 namespace dewcrank::adapters {
 
-BoundedLog::BoundedLog(Clock& clock, EventLog& log, std::set<std::string, std::less<>> routine_events,
-                       LogRateLimits limits)
+RateLimitedLog::RateLimitedLog(Clock& clock, EventLog& log, std::set<std::string, std::less<>> routine_events,
+                               LogRateLimits limits)
     : clock_(clock),
       log_(log),
       routine_events_(std::move(routine_events)),
       routine_{0, limits.routine_lines},
       other_{0, limits.other_lines} {}
 
-BoundedLog::Quota& BoundedLog::quotaOf(std::string_view name) {
+RateLimitedLog::Quota& RateLimitedLog::quotaOf(std::string_view name) {
     if (clock_.now() - second_start_ >= 1s) {
         startNewSecond();
     }
     return routine_events_.contains(name) ? routine_ : other_;
 }
 
-bool BoundedLog::takes(std::string_view name) {
+bool RateLimitedLog::takes(std::string_view name) {
     const auto& quota = quotaOf(name);
     const bool is_allowed = quota.lines < quota.limit;
     dropped_ += is_allowed ? 0 : 1;
     return is_allowed;
 }
 
-void BoundedLog::write(const Event& event) {
+void RateLimitedLog::write(const Event& event) {
     auto& quota = quotaOf(event.name());
     if (quota.lines >= quota.limit) {
         ++dropped_;
@@ -36,7 +36,7 @@
     log_.write(event);
 }
 
-void BoundedLog::startNewSecond() {
+void RateLimitedLog::startNewSecond() {
     second_start_ = clock_.now();
     routine_.lines = 0;
     other_.lines = 0;
--- a/src/adapters/bounded_log.h
+++ b/src/adapters/rate_limited_log.h
@@ -20,9 +20,10 @@
 /// Lets events through to another log, up to a number a second for routine events and another
 /// for all others, so that the one never takes the other's room. What was left out is counted in
 /// a line of its own in the next second.
-class BoundedLog : public EventLog {
+class RateLimitedLog : public EventLog {
 public:
-    BoundedLog(Clock& clock, EventLog& log, std::set<std::string, std::less<>> routine_events, LogRateLimits limits);
+    RateLimitedLog(Clock& clock, EventLog& log, std::set<std::string, std::less<>> routine_events,
+                   LogRateLimits limits);
     void write(const Event& event) override;
     [[nodiscard]] bool takes(std::string_view name) override;
 
--- a/src/adapters/sidecar_metrics.cc
+++ b/src/adapters/sidecar_metrics.cc
@@ -50,7 +50,7 @@
     prometheus::BuildGauge().Name(name).Help(help).Register(registry_).Add({}).Set(value);
 }
 
-std::string SidecarMetrics::text(sidecar::SidecarNode& node, const AdapterFigures& stats) {
+std::string SidecarMetrics::text(sidecar::SidecarNode& node, const AdapterStats& stats) {
     const auto instance_load = node.relay().load();
     setGauge("dewcrank_instance_running", "Calls that the instance has.", instance_load.running);
     setGauge("dewcrank_instance_waiting", "Calls that wait for the instance.", instance_load.waiting);
@@ -95,7 +95,7 @@
     setGauge("dewcrank_relayed_calls", "Calls relayed for other nodes.", static_cast<double>(node.counters().relayed));
     setGauge("dewcrank_heartbeats", "Heartbeats of the instance.", static_cast<double>(node.counters().heartbeats));
     setGauge("dewcrank_heartbeats_refused", "Heartbeats that could not be read, or name no service of the table.",
-             static_cast<double>(stats.heartbeats_refused));
+             static_cast<double>(stats.heartbeats_rejected));
     setGauge("dewcrank_store_era", "Raised each time that the store comes back from an older copy; 0: it tells none.",
              static_cast<double>(node.storeEra()));
     setGauge("dewcrank_instance_lives", "Lives of instances that are remembered.",
@@ -106,7 +106,7 @@
     setGauge("dewcrank_instance_connections", "Open connections to the instance.",
              static_cast<double>(stats.instance_connections));
     setGauge("dewcrank_instance_connections_begun", "Connections to the instance since the start.",
-             static_cast<double>(stats.instance_connections_begun));
+             static_cast<double>(stats.instance_connections_total));
     setGauge("dewcrank_log_lines_dropped", "Lines that their reader did not take.",
              static_cast<double>(stats.log_lines_dropped));
     return prometheus::TextSerializer().Serialize(registry_.Collect());
--- a/src/adapters/sidecar_metrics.h
+++ b/src/adapters/sidecar_metrics.h
@@ -13,11 +13,11 @@
 namespace dewcrank::adapters {
 
 /// Figures that adapters keep beside the node's.
-struct AdapterFigures {
+struct AdapterStats {
     std::size_t caller_connections = 0;
     std::size_t instance_connections = 0;
-    std::uint64_t instance_connections_begun = 0;
-    std::uint64_t heartbeats_refused = 0;
+    std::uint64_t instance_connections_total = 0;
+    std::uint64_t heartbeats_rejected = 0;
     std::uint64_t log_lines_dropped = 0;
 };
 
@@ -26,7 +26,7 @@
 public:
     SidecarMetrics();
     void onCallEnded(const entry::EntryReport& report);
-    [[nodiscard]] std::string text(sidecar::SidecarNode& node, const AdapterFigures& stats);
+    [[nodiscard]] std::string text(sidecar::SidecarNode& node, const AdapterStats& stats);
 
 private:
     void setGauge(const char* name, const char* help, double value);
--- a/tests/contract/event_loop_test.cc
+++ b/tests/contract/event_loop_test.cc
@@ -25,7 +25,7 @@
     adapters::EventLoop loop(kClocks);
     std::vector<int> fired;
     Duration reported{};
-    loop.signalWoken().connect([&](Duration lasted) { reported += lasted; });
+    loop.signalResumed().connect([&](Duration lasted) { reported += lasted; });
     const auto before = loop.now();
     const auto due = loop.startTimer(std::chrono::minutes(30), [&] { fired.push_back(1); });
     const auto later = loop.startTimer(std::chrono::hours(1) + 50ms, [&] {
@@ -48,7 +48,7 @@
     suspended = std::chrono::hours(2);
     adapters::EventLoop loop(kClocks);
     std::vector<int> fired;
-    loop.signalWoken().connect([&](Duration) { fired.push_back(0); });
+    loop.signalResumed().connect([&](Duration) { fired.push_back(0); });
     TimerHandle second;
     const auto first = loop.startTimer(1ms, [&] {
         fired.push_back(1);
--- a/tests/contract/http_client_test.cc
+++ b/tests/contract/http_client_test.cc
@@ -68,7 +68,7 @@
 BOOST_AUTO_TEST_CASE(an_answer_may_end_with_its_connection_where_the_options_say_so) {
     adapters::ClientOptions options;
     options.accepts_close_delimited = true;
-    options.idle_per_address = 4;
+    options.max_idle_per_address = 4;
     adapters::HttpClient lenient(loop, adapters::HttpLimits{1024, 4096}, options);
     tests::RawServer server(loop, "HTTP/1.1 200 OK\r\n\r\nhello", true);
     std::optional<AttemptResult> result;
--- a/tests/contract/http_server_test.cc
+++ b/tests/contract/http_server_test.cc
@@ -65,7 +65,7 @@
                 server_exchange->reply(response);
                 return;
             }
-            server_exchange->onCallerLeft([this] { ++disconnected_clients; });
+            server_exchange->onClientDisconnected([this] { ++disconnected_clients; });
             pending.push_back(server_exchange);
         }};
 };
@@ -177,7 +177,7 @@
     const std::string request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
     BOOST_REQUIRE(write(busy, request.data(), request.size()) > 0);
     runUntil([&] { return received == 1 && server.openConnections() == 2; });
-    server.closeIdle();
+    server.closeIdleConnections();
     char byte = 0;
     runUntil([&] { return recv(idle, &byte, 1, MSG_DONTWAIT) == 0; });
     BOOST_TEST(server.openConnections() == 1U);
--- a/tests/standins/instance.cc
+++ b/tests/standins/instance.cc
@@ -100,7 +100,7 @@
     run->request = std::move(request);
     run->exchange = exchange;
     runs_[number] = std::move(run);
-    exchange->onCallerLeft([this, number] { forget(number); });
+    exchange->onClientDisconnected([this, number] { forget(number); });
     queue_.push_back(number);
     startNext();
 }
--- a/tests/standins/object_store.cc
+++ b/tests/standins/object_store.cc
@@ -246,7 +246,7 @@
     it.kind = target.kind;
     it.revision = revision;
     it.exchange = exchange;
-    exchange->onCallerLeft([this, number] { watches_.erase(number); });
+    exchange->onClientDisconnected([this, number] { watches_.erase(number); });
     if (!changesSince(target.kind, revision).empty()) {
         endWatch(number);
         return;
--- a/tests/unit/adapters/bounded_log_test.cc
+++ b/tests/unit/adapters/rate_limited_log_test.cc
@@ -1,4 +1,4 @@
-#include "src/adapters/bounded_log.h"
+#include "src/adapters/rate_limited_log.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -6,12 +6,12 @@
 
 using namespace dewcrank;
 
-BOOST_AUTO_TEST_SUITE(unit_adapters_bounded_log)
+BOOST_AUTO_TEST_SUITE(unit_adapters_rate_limited_log)
 
 BOOST_AUTO_TEST_CASE(routine_lines_never_use_the_limit_of_others_and_dropped_lines_are_counted) {
     tests::VirtualTime time;
     tests::RecordingLog output;
-    adapters::BoundedLog log(time.clock, output, {"routine"}, {3, 5});
+    adapters::RateLimitedLog log(time.clock, output, {"routine"}, {3, 5});
     time.advance(10s);
     for (int count = 0; count < 100; ++count) {
         log.write(Event("routine"));
@@ -29,7 +29,7 @@
 BOOST_AUTO_TEST_CASE(an_event_over_the_limit_is_counted_though_it_was_never_built) {
     tests::VirtualTime time;
     tests::RecordingLog output;
-    adapters::BoundedLog log(time.clock, output, {"routine"}, {2, 5});
+    adapters::RateLimitedLog log(time.clock, output, {"routine"}, {2, 5});
     time.advance(10s);
     for (int count = 0; count < 10; ++count) {
         if (log.takes("routine")) {
