--- a/src/adapters/client_connection.cc
+++ b/src/adapters/client_connection.cc
@@ -13,11 +13,11 @@
 
 namespace {
 
-/// Idle connections are given up this much before the peer has said that it closes them.
+/// Reuse ends this long before the peer closes an idle connection, to avoid a race with the close.
 constexpr Duration kIdleMargin = 1s;
 constexpr std::string_view kIdleTimeoutKey = "timeout=";
 
-/// The idle time that a peer tells, less a margin; `otherwise` if it tells none.
+/// @return the idle timeout in the Keep-Alive header less kIdleMargin, at most `default_time`; `default_time` if none.
 Duration peerIdleTime(const Headers& headers, Duration default_time) {
     const auto value = headers.get("keep-alive");
     const auto found = value.find(kIdleTimeoutKey);
@@ -90,7 +90,7 @@
     fail(std::string(is_end_of_stream ? kConnectionClosed : kConnectionReset));
 }
 
-/// Bytes behind an answer are not taken: they make the connection useless.
+/// Bytes after the end of a response are not consumed, and prevent the reuse of the connection.
 std::size_t ClientConnection::onBytes(std::string_view bytes) {
     if (listener_ == nullptr) {
         fail("unexpected-bytes");
@@ -116,7 +116,7 @@
     return !expected_echo_.empty() && !echo.empty() && echo != expected_echo_;
 }
 
-/// The listener may have dropped this connection afterwards, which is then freed by the loop.
+/// The listener may release this connection; the loop destroys it later.
 void ClientConnection::completeResponse() {
     keep_alive_ = parser_.shouldKeepAlive() && !parser_.endsWithConnection();
     auto response = parser_.takeResponse();
@@ -132,7 +132,7 @@
     std::exchange(listener_, nullptr)->onResponse(std::move(response));
 }
 
-/// The listener, or the client, may destroy this connection.
+/// The listener or the client may release this connection; the loop destroys it later.
 void ClientConnection::fail(const std::string& reason) {
     has_failed_ = true;
     if (auto* listener = std::exchange(listener_, nullptr)) {
--- a/src/adapters/client_connection.h
+++ b/src/adapters/client_connection.h
@@ -1,5 +1,5 @@
 /// @file
-/// One connection of an HTTP client: carries one request at a time.
+/// One connection of an HttpClient.
 #pragma once
 
 #include <functional>
@@ -10,16 +10,16 @@
 
 namespace dewcrank::adapters {
 
-/// A stream to one address, with the answer that is being read from it.
+/// Connection to one address that carries one request at a time and parses the response.
 class ClientConnection : private SocketStream::Listener {
 public:
-    /// What the user of a connection is told.
+    /// Receives the events of a connection. After onResponse or onFailed the listener is detached.
     class Listener {
     public:
         virtual ~Listener() = default;
         virtual void onConnected() = 0;
         virtual void onResponse(HttpAnswer response) = 0;
-        /// The connection has ended or is of no more use.
+        /// The connection closed, or received data that makes it unusable. @param reason as in AttemptResult::reason.
         virtual void onFailed(const std::string& reason) = 0;
     };
 
@@ -28,24 +28,30 @@
     ClientConnection(const ClientConnection&) = delete;
     ClientConnection& operator=(const ClientConnection&) = delete;
 
-    /// @return false if the address is none or no socket is to be had.
+    /// Starts to connect. @return false if the address is invalid or no socket can be created.
     bool connect();
     [[nodiscard]] const std::string& address() const { return address_; }
     [[nodiscard]] bool isConnected() const { return is_connected_; }
-    /// Events go to `listener`; to the client's pool while it is null.
+    /// Sets the receiver of events. While it is null the connection is idle, and its client handles a close.
     void setListener(Listener* listener) { listener_ = listener; }
+    /// Sends one request and prepares the parser for its response.
     void write(const HttpRequest& request);
-    /// True if another request may be sent, now that the answer is here.
+    /// Valid after onResponse. @return true if another request may be sent on this connection.
     [[nodiscard]] bool isReusable() const;
+    /// Records the start of an idle period.
     void markIdle(TimePoint now) { idle_since_ = now; }
+    /// @return false if the connection was idle for too long to be reused: the peer may be closing it.
     [[nodiscard]] bool isWithinIdleTime(TimePoint now) const { return now - idle_since_ < max_idle_time_; }
 
 private:
     void onConnected() override;
     std::size_t onBytes(std::string_view bytes) override;
     void onClosed(CloseReason reason) override;
+    /// Passes the parsed response to the listener, or discards it if it belongs to an earlier request.
     void completeResponse();
+    /// @return true if the echoed header of the response differs from that of the request.
     [[nodiscard]] bool belongsToEarlierRequest(const HttpAnswer& response) const;
+    /// Marks the connection unusable and reports this to the listener, or to the client if there is none.
     void fail(const std::string& reason);
 
     HttpClient& client_;
@@ -56,11 +62,11 @@
     bool is_connected_ = false;
     bool has_failed_ = false;
     bool keep_alive_ = false;
-    bool has_unexpected_data_ = false;  ///< Answers that belong to no open request have come.
+    bool has_unexpected_data_ = false;  ///< Received bytes that belong to no open request.
     bool expects_no_body_ = false;
-    std::string expected_echo_;
+    std::string expected_echo_;  ///< Value of the echoed header in the current request; empty: not checked.
     TimePoint idle_since_{};
-    Duration max_idle_time_{};
+    Duration max_idle_time_{};  ///< From the options, or shorter if the peer announced so.
 };
 
 }  // namespace dewcrank::adapters
--- a/src/adapters/event_loop.cc
+++ b/src/adapters/event_loop.cc
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// Suspensions last for seconds; less than this is the time between two readings of a clock.
+/// A smaller difference of the clocks is the delay between the two readings.
 constexpr Duration kMinSuspension = 20ms;
 
 TimePoint readClock(clockid_t clock) {
@@ -32,7 +32,7 @@
 
 const LoopClocks kSystemClocks{[] { return readClock(CLOCK_BOOTTIME); }, [] { return readClock(CLOCK_MONOTONIC); }};
 
-/// Stands in its loop's list while it is set.
+/// Linked into the list of its loop while pending.
 class EventLoop::LoopTimer : public Timer {
 public:
     LoopTimer(const EventLoop& loop, TimePoint due, std::function<void()> callback)
@@ -53,6 +53,7 @@
     LoopTimer(const LoopTimer&) = delete;
     LoopTimer& operator=(const LoopTimer&) = delete;
 
+    /// Starts the libevent timer, also when it is running already.
     void arm(TimePoint now) {
         const auto value = toTimeval(due_ - now);
         evtimer_add(event_, &value);
@@ -60,7 +61,7 @@
     [[nodiscard]] LoopTimer* next() const { return next_; }
 
 private:
-    /// The callback is moved out first: it may destroy this timer.
+    /// The callback may destroy this timer, so it is moved out first.
     static void onFired(evutil_socket_t, short, void* self) {
         auto* it = static_cast<LoopTimer*>(self);
         it->unlink();
@@ -103,9 +104,9 @@
 EventLoop::EventLoop(const LoopClocks& clocks)
     : clocks_(clocks), base_(event_base_new()), total_suspended_(clocks.boottime() - clocks.monotonic()) {
     if (base_ == nullptr) {
-        throw std::runtime_error("event loop: cannot be created");
+        throw std::runtime_error("event loop: event_base_new failed");
     }
-    // Writing to a connection that the other side has closed must not end the process.
+    // A write to a connection that the peer has closed must not terminate the process.
     std::signal(SIGPIPE, SIG_IGN);
 }
 
@@ -115,7 +116,7 @@
     event_base_free(base_);
 }
 
-/// The clock that goes on is read first: time that passes between the two readings never looks like a suspension.
+/// The boottime clock is read first, so that a delay between the two readings does not count as a suspension.
 TimePoint EventLoop::now() const {
     const auto now = clocks_.boottime();
     const auto suspended = now - clocks_.monotonic();
@@ -126,11 +127,11 @@
 }
 
 void EventLoop::onResumed(TimePoint now, Duration suspended) const {
-    const auto lasted = suspended - std::exchange(total_suspended_, suspended);
+    const auto duration = suspended - std::exchange(total_suspended_, suspended);
     for (auto* it = timers_; it != nullptr; it = it->next()) {
         it->arm(now);
     }
-    resumed_timer_ = startTimerAt(now, [this, lasted] { signal_resumed_.emit(lasted); });
+    resumed_timer_ = startTimerAt(now, [this, duration] { signal_resumed_.emit(duration); });
 }
 
 TimerHandle EventLoop::startTimerAt(TimePoint due, std::function<void()> callback) const {
--- a/src/adapters/event_loop.h
+++ b/src/adapters/event_loop.h
@@ -1,5 +1,5 @@
 /// @file
-/// The loop of a process: libevent, on one thread.
+/// Single-threaded event loop of a process, on libevent.
 #pragma once
 
 #include <event2/event.h>
@@ -13,21 +13,21 @@
 
 namespace dewcrank::adapters {
 
-/// A duration as libevent takes it; a negative one counts as none.
+/// Converts a duration to a timeval; a negative duration becomes zero.
 timeval toTimeval(Duration duration);
 
-/// The clocks that a loop goes by; tests give their own.
+/// Clock sources of a loop. Tests substitute their own.
 struct LoopClocks {
-    TimePoint (*boottime)();   ///< CLOCK_BOOTTIME: goes on while the machine is suspended.
-    TimePoint (*monotonic)();  ///< CLOCK_MONOTONIC: does not, and libevent's timers go by it.
+    TimePoint (*boottime)();   ///< CLOCK_BOOTTIME: advances while the machine is suspended.
+    TimePoint (*monotonic)();  ///< CLOCK_MONOTONIC: stops during a suspension. libevent timers use it.
 };
 extern const LoopClocks kSystemClocks;
 
-/// A libevent loop, and the clock and timers that run on it.
+/// A libevent loop with its clock and timers.
 ///
-/// Time goes on while the machine is suspended: deadlines, ages and terms run off, as they do for everybody
-/// else. libevent's timers stand still meanwhile, so they are set anew when the loop next asks for the time;
-/// what has come in is read before those that are due then fire.
+/// The clock includes the time for which the machine was suspended, so deadlines and leases expire during a
+/// suspension as they do on other machines. libevent timers do not advance meanwhile: the first `now` after the
+/// resume rearms all pending timers. Pending input is read before overdue timers fire.
 class EventLoop : public Clock {
 public:
     explicit EventLoop(const LoopClocks& clocks = kSystemClocks);
@@ -38,27 +38,29 @@
     [[nodiscard]] TimePoint now() const override;
     [[nodiscard]] TimerHandle startTimer(Duration delay, std::function<void()> callback) override;
 
-    /// Calls `callback` on each arrival of a signal, from the loop.
+    /// Runs `callback` from the loop each time the process receives the signal.
     void onSignal(int signal_number, std::function<void()> callback);
-    /// Runs until `stop`.
+    /// Runs the loop until `stop` is called.
     void run();
     void stop();
     [[nodiscard]] event_base* base() const { return base_; }
-    /// Emitted from the loop with the time for which the machine was suspended.
+    /// Emitted from the loop after the machine resumes, with the duration of the suspension.
     sigc::signal<void(Duration)>& signalResumed() { return signal_resumed_; }
 
 private:
     struct SignalHandler;
     class LoopTimer;
+    /// Starts a timer that fires at `due`.
     [[nodiscard]] TimerHandle startTimerAt(TimePoint due, std::function<void()> callback) const;
+    /// Rearms all timers after a suspension. @param suspended total since boot.
     void onResumed(TimePoint now, Duration suspended) const;
 
     LoopClocks clocks_;
     event_base* base_;
-    // Asking for the time finds out that the machine was suspended, and sets the timers anew.
-    mutable LoopTimer* timers_ = nullptr;  ///< All that are set, as a list.
-    mutable Duration total_suspended_;     ///< Since the machine's start, as last measured.
-    mutable TimerHandle resumed_timer_;
+    // Mutable, because `now` detects a suspension and rearms the timers.
+    mutable LoopTimer* timers_ = nullptr;  ///< Head of the list of pending timers.
+    mutable Duration total_suspended_;     ///< Total time in suspension since boot, at the last check.
+    mutable TimerHandle resumed_timer_;    ///< Emits `signal_resumed_`.
     sigc::signal<void(Duration)> signal_resumed_;
     std::vector<std::unique_ptr<SignalHandler>> signal_handlers_;
 };
--- a/src/adapters/http_client.cc
+++ b/src/adapters/http_client.cc
@@ -7,7 +7,7 @@
 
 namespace dewcrank::adapters {
 
-/// One attempt: owns its connection while it runs.
+/// One attempt. Owns a connection until the response, a failure or a timeout.
 class HttpClient::Exchange : public Attempt, private ClientConnection::Listener {
 public:
     Exchange(HttpClient& client, HttpRequest request, Callback callback)
@@ -77,13 +77,13 @@
         }
     }
 
-    /// Failures may come from inside `send`; the callback must not.
+    /// Reports from the loop: a failure may occur inside `send`, where the callback must not run.
     void finishLater(AttemptResult result) {
         timer_ = client_.loop_.startTimer(Duration::zero(),
                                           [this, result = std::move(result)]() mutable { finish(std::move(result)); });
     }
 
-    /// The callback may destroy this attempt.
+    /// The callback may destroy this object.
     void finish(AttemptResult result) {
         timer_.reset();
         const auto callback = std::exchange(callback_, nullptr);
@@ -110,7 +110,7 @@
     return exchange;
 }
 
-/// The connection that was idle last comes first, so that the others can grow old and end.
+/// Reuses the most recently used connection first, so that surplus connections reach their idle limit.
 std::unique_ptr<ClientConnection> HttpClient::takeConnection(const std::string& address) {
     auto& idle = idle_[address];
     while (!idle.empty()) {
@@ -144,7 +144,6 @@
     }
 }
 
-/// A connection may still be on the stack when it is dropped, so it is freed from the loop.
 void HttpClient::destroyLater(std::unique_ptr<ClientConnection> connection) {
     to_destroy_.push_back(std::move(connection));
     if (to_destroy_.size() == 1) {
--- a/src/adapters/http_client.h
+++ b/src/adapters/http_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP requests to back ends, other nodes and the platform, on libevent's buffered streams.
+/// HTTP/1.1 client with a connection pool, used for requests to instances, other nodes and the platform.
 #pragma once
 
 #include <map>
@@ -15,26 +15,24 @@
 
 class ClientConnection;
 
-/// What a client takes as an answer, and how many connections it keeps.
+/// Options of a client: accepted responses and connection pooling.
 struct ClientOptions {
-    /// Take an answer that is delimited by the clean end of its connection as whole. A reset
-    /// always spoils it.
+    /// Accept a response without a length that ends when the peer closes the connection. After a reset such a
+    /// response is always incomplete.
     bool accepts_close_delimited = false;
-    std::size_t max_idle_per_address = 64;
-    /// Idle connections are not used again after this time, or the peer's own if that is less.
+    std::size_t max_idle_per_address = 64;  ///< Idle connections kept for each address.
+    /// An idle connection is not reused after this time, or after a shorter one that the peer announces in Keep-Alive.
     Duration max_idle_time = kLongestIdle;
-    /// Header that an answer echoes from its request. An answer with another value belongs to
-    /// an earlier request: it is dropped, and the next one is awaited. Empty: not checked.
+    /// Name of a header that the peer echoes from each request. A response with another value belongs to an earlier
+    /// request: the client discards it and waits for the next one. Empty: not checked.
     std::string echoed_header;
 };
 
-/// Sends each request once on a connection of its own for that time; idle connections are
-/// kept and used again.
+/// Sends each request once, without retries. A connection carries one request at a time and is pooled afterwards.
 ///
-/// A request counts as not sent only if nothing of it was handed to a connected socket. An
-/// answer counts as whole only if its end is marked: by length, by chunks, because its status
-/// has no body, or (if the options say so) by the clean end of the connection. Bytes that come
-/// on an idle connection, or behind an answer, end that connection.
+/// A request counts as not sent only if no byte of it was passed to a connected socket. A response is complete only if
+/// its end is explicit: a length, the last chunk, a status without a body or, if the options allow it, an orderly
+/// close. The client closes a connection that receives bytes while idle or after the end of a response.
 class HttpClient : public BackEndPort {
 public:
     HttpClient(EventLoop& loop, HttpLimits limits, ClientOptions options = {});
@@ -42,8 +40,9 @@
 
     [[nodiscard]] AttemptHandle send(const std::string& address, HttpRequest request, Duration timeout,
                                      Callback callback) override;
+    /// Connections that exist now, idle ones included.
     [[nodiscard]] std::size_t openConnections() const { return open_connections_; }
-    /// Connections that were ever begun.
+    /// Number of connections opened since construction, failed attempts included.
     [[nodiscard]] std::uint64_t totalConnections() const { return total_connections_; }
 
 private:
@@ -51,9 +50,13 @@
     class Exchange;
     friend class Exchange;
 
+    /// @return a reusable idle connection to the address, or a new one that is not connected.
     std::unique_ptr<ClientConnection> takeConnection(const std::string& address);
+    /// Returns a connection to the pool, or closes it if the pool of its address is full.
     void keepConnection(std::unique_ptr<ClientConnection> connection);
+    /// Removes an idle connection that was closed or is unusable from the pool.
     void onIdleClosed(ClientConnection* connection);
+    /// Destroys a connection from the loop, since its methods may still be on the call stack.
     void destroyLater(std::unique_ptr<ClientConnection> connection);
 
     EventLoop& loop_;
--- a/src/adapters/http_parser.cc
+++ b/src/adapters/http_parser.cc
@@ -15,17 +15,17 @@
 constexpr int kFirstFinalStatus = 200;
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
-/// What the library says of a message without a length.
+/// Value of content_length in the library if a message has no length.
 constexpr auto kUnknownLength = std::numeric_limits<std::uint64_t>::max();
 constexpr unsigned char kFirstVisible = 0x21;
 constexpr unsigned char kDelete = 0x7f;
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::size_t kTypicalHeadSize = 1024;
 
-/// Answers for each value of a character.
+/// Membership flag for each character value.
 using CharacterSet = std::array<bool, std::numeric_limits<unsigned char>::max() + 1>;
 
-/// RFC 9110, section 5.6.2.
+/// Characters of a token (RFC 9110, section 5.6.2).
 constexpr CharacterSet makeTokenCharacters() {
     CharacterSet set{};
     for (const char character :
@@ -35,6 +35,7 @@
     return set;
 }
 
+/// Characters of a field value: visible and 8-bit characters, space and tab (RFC 9110, section 5.5).
 constexpr CharacterSet makeValueCharacters() {
     CharacterSet set{};
     for (std::size_t value = kFirstVisible; value < set.size(); ++value) {
@@ -65,7 +66,7 @@
            sameHeaderName(name, "connection") || sameHeaderName(name, "keep-alive");
 }
 
-/// True if the bytes begin with a request line whose only fault may be its method.
+/// @return true if the bytes start with a request line that is well-formed apart from its method.
 bool looksLikeRequestLine(std::string_view bytes) {
     const auto line = bytes.substr(0, bytes.find('\r'));
     const auto method_end = line.find(' ');
@@ -176,7 +177,7 @@
     return 0;
 }
 
-/// A value that goes on at another place than where it ended has been folded over lines.
+/// Rejects folded values: a fragment that does not start where the previous one ended is on another line.
 int HttpMessageParser::onHeaderValue(const char* at, std::size_t length) {
     const auto begin = consumed_bytes_ + static_cast<std::size_t>(at - input_start_);
     if (in_value_ && begin != value_end_) {
@@ -206,6 +207,7 @@
         return isToken(line.name) && std::all_of(line.value.begin(), line.value.end(), isValueCharacter);
     });
     const auto encoding = headers_.get("transfer-encoding");
+    // More than one framing field is ambiguous (request smuggling, RFC 9112, section 6.3).
     if (!is_valid || framing_header_count_ > 1 || (!encoding.empty() && !sameHeaderName(encoding, "chunked"))) {
         return fail(State::kMalformed);
     }
@@ -241,10 +243,10 @@
         const auto parser = parser_;
         reset(no_body);
         parser_ = parser;
-        return 0;  // An interim answer: the final one follows.
+        return 0;  // An interim response; the final one follows.
     }
     if (!field_.empty()) {
-        flushHeader();  // Of a trailer, which is dropped with the framing.
+        flushHeader();  // Last trailer field.
     }
     is_complete_ = true;
     keep_alive_ = http_should_keep_alive(&parser_) != 0;
--- a/src/adapters/http_server.cc
+++ b/src/adapters/http_server.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Connections that wait to be accepted.
+/// Length of the queue of connections that are not accepted yet.
 constexpr int kBacklog = 1024;
 constexpr unsigned kListenOptions = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE;
 
--- a/src/adapters/http_server.h
+++ b/src/adapters/http_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// An HTTP listener on libevent's buffered streams. docs/adr/0010 says why not evhttp.
+/// HTTP/1.1 server on SocketStream. docs/adr/0010 explains why it does not use evhttp.
 #pragma once
 
 #include <event2/event.h>
@@ -21,24 +21,25 @@
 
 class ServerConnection;
 
-/// One request at the listener that waits for its answer.
+/// One request that waits for its response.
 ///
-/// `reply` may be called once; later calls are ignored, as is one after the caller has left.
+/// Only the first call of `reply` has an effect, and none after the client has disconnected.
 class ServerExchange : public std::enable_shared_from_this<ServerExchange> {
 public:
     ServerExchange(ServerConnection* connection, std::string method, bool keep_alive);
     ServerExchange(const ServerExchange&) = delete;
     ServerExchange& operator=(const ServerExchange&) = delete;
 
+    /// Sends the response, after the responses to earlier requests of the same connection.
     void reply(HttpAnswer response);
-    /// Calls back once if the caller closes its connection before the answer.
+    /// Sets a callback that runs once if the connection closes before `reply`.
     void onClientDisconnected(std::function<void()> callback);
-    /// Closes the connection without any answer, as a failing server would.
+    /// Closes the connection without a response, as a crashed server would.
     void abort();
 
 private:
     friend class ServerConnection;
-    ServerConnection* connection_;  ///< Null once answered or closed.
+    ServerConnection* connection_;  ///< Null once the response is written or the connection is closed.
     std::string method_;
     bool keep_alive_;
     bool is_replied_ = false;
@@ -46,36 +47,38 @@
     std::function<void()> on_client_disconnected_;
 };
 
-/// How long a caller may take.
+/// Timeouts of a connection. The server closes a connection that exceeds one.
 struct ServerTimeouts {
-    Duration header = 10s;  ///< From the first byte of a request to the end of its head.
-    Duration idle = 60s;    ///< Between requests; also between two reads of a body.
+    Duration header = 10s;  ///< From the first byte of a request to the end of its header fields.
+    Duration idle = 60s;    ///< Between two requests, and between two reads of a body.
 };
 
-/// Listens on one address and hands on whole requests.
+/// Listens on one address and passes complete requests to a handler.
 ///
-/// Requests that come behind an unanswered one are handed on at once, and answered in their
-/// order. Malformed or ambiguously framed requests get 400 and the connection is closed, too
-/// large ones 413, unknown methods 501. A caller slower than the time-outs is closed.
+/// Pipelined requests are passed on at once, and their responses are sent in request order. The server responds with
+/// 400 to a malformed or ambiguously framed request, with 413 to a body over the limit and with 501 to an unknown
+/// method; each of these closes the connection.
 class HttpServer {
 public:
     using Handler = std::function<void(HttpRequest, std::shared_ptr<ServerExchange>)>;
 
+    /// @param client_timeout initial value of both ServerTimeouts.
+    /// @param handler receives each complete request; it may call `reply` at once or later.
     HttpServer(EventLoop& loop, HttpLimits limits, Duration client_timeout, Handler handler);
     ~HttpServer();
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
 
-    /// Starts to listen. Port 0 takes a free one. @return the address in use.
+    /// Starts to listen; port 0 selects a free port. @return the bound address, or the error.
     Result<SocketAddress> listen(const SocketAddress& address);
-    /// Applies to requests and connections that begin from now on.
+    /// Sets the size limits of new connections, and the timeouts that are started from now on.
     void setLimits(HttpLimits limits, ServerTimeouts timeouts);
-    /// Closes each open connection after its next answer; further ones are still accepted.
+    /// Closes each connection after its next response, or after the last one if requests are pipelined. New connections
+    /// are still accepted.
     void closeAfterResponses() { close_after_response_ = true; }
-    /// Closes the connections on which no request waits for its answer; what they have sent
-    /// since is not read.
+    /// Closes the connections without a pending response. Bytes that they have sent meanwhile are not read.
     void closeIdleConnections();
-    /// Takes no further connections, and closes each open one after its next answer.
+    /// Stops listening, and closes each open connection like `closeAfterResponses`.
     void stopAccepting();
     [[nodiscard]] std::size_t openConnections() const { return connections_.size(); }
 
@@ -84,7 +87,7 @@
     static void onAccept(evconnlistener* listener, evutil_socket_t descriptor, sockaddr* address, int length,
                          void* self);
 
-    /// Destroys a closed connection from the loop: it may still be on the stack.
+    /// Destroys a closed connection from the loop, since its methods may still be on the call stack.
     void destroyLater(ServerConnection* connection);
 
     EventLoop& loop_;
--- a/src/adapters/json_fields.cc
+++ b/src/adapters/json_fields.cc
@@ -45,8 +45,8 @@
 }
 
 nlohmann::json jsonNumber(double value) {
-    const auto whole = static_cast<std::int64_t>(value);
-    return static_cast<double>(whole) == value ? nlohmann::json(whole) : nlohmann::json(value);
+    const auto integer = static_cast<std::int64_t>(value);
+    return static_cast<double>(integer) == value ? nlohmann::json(integer) : nlohmann::json(value);
 }
 
 double requireNumber(const nlohmann::json& object, const char* field) {
--- a/src/adapters/json_fields.h
+++ b/src/adapters/json_fields.h
@@ -1,6 +1,6 @@
 /// @file
-/// Fields of JSON documents that others write, read strictly: what is missing, of another type or out of range is an
-/// error that names the field.
+/// Strict access to fields of JSON documents from external systems. A field that is missing, has another type or is out
+/// of range causes an error that names the field.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,25 @@
 
 namespace dewcrank::adapters {
 
-/// All throw std::invalid_argument with the field's name and what is expected of it.
+/// Throws std::invalid_argument with the name of the field and the expected value, as all require functions do.
 [[noreturn]] void throwFieldError(const std::string& field, const char* expected);
+/// @return the object in a field.
 const nlohmann::json& requireObject(const nlohmann::json& parent, const char* field);
-/// Not empty.
+/// @return the string in a field; an empty string is an error.
 std::string requireString(const nlohmann::json& object, const char* field);
-/// A whole number from `least` to `most`; a fraction is none, neither is a truth value.
+/// @return the integer in a field, from `min` to `max`; fractions and booleans are errors.
 std::uint64_t requireInteger(const nlohmann::json& object, const char* field, std::uint64_t min, std::uint64_t max);
-/// Zero or more.
+/// @return the number in a field; a negative number is an error.
 double requireNumber(const nlohmann::json& object, const char* field);
 
-/// Whole numbers stay whole.
+/// @return a JSON integer if the value is integral, else a JSON floating point number.
 nlohmann::json jsonNumber(double value);
 
-/// Runs a translation; a document of another form than it expects gives nothing.
-template <typename Value, typename Translate>
-std::optional<Value> tryParse(Translate translate) {
+/// Runs a parser function. @return its result, or nothing if the document has an unexpected form.
+template <typename Value, typename Parse>
+std::optional<Value> tryParse(Parse parse) {
     try {
-        return translate();
+        return parse();
     } catch (const nlohmann::json::exception&) {
         return std::nullopt;
     } catch (const std::logic_error&) {
@@ -38,12 +39,12 @@
     }
 }
 
-/// The items of a list that can be read: one of another writer leaves the others usable.
-template <typename Value, typename Translate>
-std::vector<Value> tryParseItems(const nlohmann::json& items, Translate translate) {
+/// Parses the items of a list. @return the parsed items; invalid ones are skipped.
+template <typename Value, typename Parse>
+std::vector<Value> tryParseItems(const nlohmann::json& items, Parse parse) {
     std::vector<Value> values;
     for (const auto& item : items) {
-        if (auto value = tryParse<Value>([&] { return translate(item); })) {
+        if (auto value = tryParse<Value>([&] { return parse(item); })) {
             values.push_back(std::move(*value));
         }
     }
--- a/src/adapters/process_log.cc
+++ b/src/adapters/process_log.cc
@@ -15,10 +15,11 @@
 constexpr const char* kLogger = "dewcrank";
 constexpr const char* kSinkName = "unblocked-output";
 
-/// Writes to standard output only what goes without waiting. A pipe that is ready takes PIPE_BUF
-/// bytes at least, so a line up to that size is written whole or not at all.
+/// Writes lines to standard output if that does not block. A pipe that is ready accepts at least PIPE_BUF bytes, so
+/// lines are truncated to that size and written completely or dropped.
 class NonBlockingStdout : public el::LogDispatchCallback {
 public:
+    /// Number of dropped lines in this process.
     static std::uint64_t& dropped() {
         static std::uint64_t count = 0;
         return count;
@@ -49,10 +50,10 @@
     }
 
 public:
-    bool is_enabled = false;
+    bool is_enabled = false;  ///< False while the log goes to a file.
 
 private:
-    std::uint64_t unreported_ = 0;
+    std::uint64_t unreported_ = 0;  ///< Dropped lines that no log line has reported.
 };
 
 }  // namespace
--- a/src/adapters/process_log.h
+++ b/src/adapters/process_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// The event log of a process, on easylogging++.
+/// Event log of a process, on easylogging++.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +11,15 @@
 
 /// Writes `time=... event=... key=value` lines to standard output, or to a file.
 ///
-/// A reader of standard output that does not read holds nothing up: lines that find no room are
-/// dropped, and counted in a line of their own as soon as there is room.
+/// A write to standard output never blocks: if the pipe is full, the line is dropped. The number of dropped lines is
+/// logged as `log_lines_dropped` before the next line that can be written.
 class ProcessLog : public EventLog {
 public:
-    /// @param file where the lines go; empty: standard output.
+    /// @param file path of the log file; empty: standard output.
     explicit ProcessLog(const std::string& file);
     void write(const Event& event) override;
 
-    /// Lines that were dropped in this process because their reader did not read.
+    /// Number of lines dropped since the start of the process because standard output was not ready.
     [[nodiscard]] static std::uint64_t droppedLines();
 };
 
--- a/src/adapters/rate_limited_log.h
+++ b/src/adapters/rate_limited_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// Bounds the volume of a log without losing what matters.
+/// Rate limit for an event log, with separate limits for routine events and for all other events.
 #pragma once
 
 #include <cstdint>
@@ -11,38 +11,43 @@
 
 namespace dewcrank::adapters {
 
-/// Lines a second that are let through.
+/// Limits in lines per second.
 struct LogRateLimits {
-    std::uint32_t routine_lines = 100;  ///< Of events that say that all went well.
-    std::uint32_t other_lines = 400;    ///< Of all others: failures, refusals, changes of belief.
+    std::uint32_t routine_lines = 100;  ///< For events that report normal operation.
+    std::uint32_t other_lines = 400;    ///< For all other events: failures, rejections, state changes.
 };
 
-/// Lets events through to another log, up to a number a second for routine events and another
-/// for all others, so that the one never takes the other's room. What was left out is counted in
-/// a line of its own in the next second.
+/// Forwards events to another log up to a limit per second, and drops the rest.
+///
+/// Routine events and all other events have separate limits, so a flood of routine events cannot suppress a failure.
+/// The number of dropped events is logged as `events_left_out`, with the first event of a later second.
 class RateLimitedLog : public EventLog {
 public:
+    /// @param log the log that receives the events within the limits.
+    /// @param routine_events names of the events that the limit `routine_lines` applies to.
     RateLimitedLog(Clock& clock, EventLog& log, std::set<std::string, std::less<>> routine_events,
                    LogRateLimits limits);
     void write(const Event& event) override;
+    /// @return false if the limit of this event name is reached; the event then counts as dropped.
     [[nodiscard]] bool takes(std::string_view name) override;
 
 private:
-    /// What has been let through of one kind of events in the present second.
+    /// Lines written in the current second, and their limit.
     struct Quota {
         std::uint32_t lines = 0;
         std::uint32_t limit = 0;
     };
     Quota& quotaOf(std::string_view name);
+    /// Resets the quotas, and logs the number of events dropped since the last reset.
     void startNewSecond();
 
     Clock& clock_;
     EventLog& log_;
     std::set<std::string, std::less<>> routine_events_;
     TimePoint second_start_{};
-    Quota routine_;
-    Quota other_;
-    std::uint32_t dropped_ = 0;
+    Quota routine_;              ///< For the events in `routine_events_`.
+    Quota other_;                ///< For all other events.
+    std::uint32_t dropped_ = 0;  ///< Events dropped since `second_start_`.
 };
 
 }  // namespace dewcrank::adapters
--- a/src/adapters/seeded_random.h
+++ b/src/adapters/seeded_random.h
@@ -1,5 +1,5 @@
 /// @file
-/// Random numbers from a seed: the 64-bit Mersenne twister, which is the same everywhere.
+/// Deterministic random numbers: the 64-bit Mersenne Twister, whose sequence the C++ standard defines.
 #pragma once
 
 #include <random>
@@ -8,6 +8,7 @@
 
 namespace dewcrank::adapters {
 
+/// Random source whose sequence depends only on the seed.
 class SeededRandom : public RandomSource {
 public:
     explicit SeededRandom(std::uint64_t seed) : engine_(seed) {}
--- a/src/adapters/server_connection.cc
+++ b/src/adapters/server_connection.cc
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Requests of one connection that may wait for their answers at the same time.
+/// Pipelined requests of one connection that may be pending at the same time.
 constexpr std::size_t kMaxPipelined = 16;
-/// Bytes that are read ahead of the requests being served.
+/// Unconsumed bytes above which reading pauses.
 constexpr std::size_t kReadAhead = std::size_t{256} * 1024;
-/// A caller that reads nothing for this long is given up.
+/// The connection of a client that reads nothing for this time is closed.
 constexpr Duration kWriteTimeout = 20s;
-/// How long a caller may take to close after the last answer.
+/// Time for the client to close the connection after the last response.
 constexpr Duration kLingerTimeout = 3s;
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
@@ -87,7 +87,7 @@
     }
 }
 
-/// The handler may answer or close at once.
+/// The handler may reply, or abort the connection, inside this call.
 void ServerConnection::onRequest() {
     const bool keep_alive = parser_.shouldKeepAlive();
     auto request = parser_.takeRequest();
@@ -132,7 +132,7 @@
         const auto exchange = pending_.front();
         pending_.pop_front();
         exchange->connection_ = nullptr;
-        // What stands behind has been handed on already: only the last answer may close.
+        // Later pipelined requests already run, so only the last response may close the connection.
         const bool close_connection =
             pending_.empty() && pending_error_status_ == 0 && (server_.close_after_response_ || !exchange->keep_alive_);
         writeResponse(*exchange, close_connection);
@@ -165,8 +165,8 @@
     stream_.write(head, sends_body ? std::string_view(response.body) : std::string_view());
 }
 
-/// All is written. The caller may still be sending: closing with unread bytes would reset the
-/// connection under the answer, so the writing side is shut and the rest is read and dropped.
+/// The client may still be sending. Closing the socket with unread bytes would reset the connection and could lose the
+/// response, so only the sending side is shut down; further input is read and discarded.
 void ServerConnection::shutdownIfWritten() {
     if (close_after_write_ && stream_.unsentBytes() == 0) {
         stream_.closeWriting();
@@ -192,7 +192,7 @@
     }
 }
 
-/// One timer serves many requests: when it runs out too early it is started again for what is left.
+/// The timer is not restarted for each request: if it fires before the deadline, it is started for the remaining time.
 void ServerConnection::startTimer() {
     timer_expiry_ = *deadline_;
     timer_ = server_.loop_.startTimer(timer_expiry_ - server_.loop_.now(), [this] { onTimer(); });
--- a/src/adapters/server_connection.h
+++ b/src/adapters/server_connection.h
@@ -1,5 +1,5 @@
 /// @file
-/// One caller's connection at an HTTP listener.
+/// One client connection of an HttpServer.
 #pragma once
 
 #include <deque>
@@ -11,8 +11,8 @@
 
 namespace dewcrank::adapters {
 
-/// Reads requests, hands them on and writes their answers in order. Destroys itself when the
-/// connection ends.
+/// Parses requests, passes them to the handler of the server and writes the responses in request order. When the
+/// connection closes, it deregisters at the server, which destroys it.
 class ServerConnection : private SocketStream::Listener {
 public:
     ServerConnection(HttpServer& server, evutil_socket_t descriptor);
@@ -20,23 +20,28 @@
     ServerConnection(const ServerConnection&) = delete;
     ServerConnection& operator=(const ServerConnection&) = delete;
 
-    /// An exchange has its answer: writes all answers that are due.
+    /// Called when an exchange has its response: writes the responses at the head of the queue.
     void onReplied();
-    /// True if no request waits for its answer and no answer is being written.
+    /// @return true if no request waits for its response and no response is being written.
     [[nodiscard]] bool isIdle() const;
-    /// Closes at once; callers of open exchanges count as left. Destroyed later by the loop.
+    /// Closes at once, and runs the disconnect callbacks of pending exchanges. The loop destroys this object later.
     void close();
 
 private:
     std::size_t onBytes(std::string_view bytes) override;
     void onWritten() override { shutdownIfWritten(); }
     void onClosed(CloseReason) override { close(); }
+    /// Passes the parsed request to the handler.
     void onRequest();
     void sendContinueIfExpected();
+    /// Rejects a request that the parser did not accept.
     void rejectUnparsed(HttpMessageParser::State state);
+    /// Stops reading; after the pending responses it sends a response with this status and closes.
     void reject(int status);
     void writeResponse(const ServerExchange& exchange, bool close_connection);
+    /// Shuts down the sending side once all output is written, if the connection is to close.
     void shutdownIfWritten();
+    /// Sets `deadline_` for the current state: reading a head, idle, closing, or waiting for the handler.
     void updateDeadline();
     void startTimer();
     void onTimer();
@@ -44,17 +49,17 @@
     HttpServer& server_;
     SocketStream stream_;
     HttpMessageParser parser_;
-    std::deque<std::shared_ptr<ServerExchange>> pending_;
-    std::optional<TimePoint> deadline_;  ///< Nothing while an answer is due.
-    TimePoint timer_expiry_{};           ///< When the timer runs out: never after closes_at_.
+    std::deque<std::shared_ptr<ServerExchange>> pending_;  ///< Requests without a written response, oldest first.
+    std::optional<TimePoint> deadline_;  ///< When the connection times out; none while only the handler is awaited.
+    TimePoint timer_expiry_{};           ///< When `timer_` fires: not later than `deadline_`.
     TimerHandle timer_;
-    TimerHandle redeliver_timer_;
-    bool is_head_timed_ = false;
-    bool continue_sent_ = false;
+    TimerHandle redeliver_timer_;  ///< Parses unconsumed bytes again when a response was written.
+    bool is_head_timed_ = false;   ///< `deadline_` is the header timeout of the current request.
+    bool continue_sent_ = false;   ///< "100 Continue" was sent for the current request.
     bool is_closed_ = false;
-    bool is_reading_done_ = false;  ///< No further request is read from this connection.
-    bool close_after_write_ = false;
-    int pending_error_status_ = 0;  ///< Status for a request that could not be read.
+    bool is_reading_done_ = false;    ///< No further request is read; received bytes are discarded.
+    bool close_after_write_ = false;  ///< The last response was queued.
+    int pending_error_status_ = 0;    ///< Status of the response to a rejected request; 0: none.
 };
 
 }  // namespace dewcrank::adapters
--- a/src/adapters/sidecar_metrics.h
+++ b/src/adapters/sidecar_metrics.h
@@ -1,5 +1,5 @@
 /// @file
-/// Figures of a sidecar node in the Prometheus text format.
+/// Metrics of a sidecar node in the Prometheus text format.
 #pragma once
 
 #include <prometheus/histogram.h>
@@ -12,20 +12,22 @@
 
 namespace dewcrank::adapters {
 
-/// Figures that adapters keep beside the node's.
+/// Values that the adapters count, in addition to those of the node.
 struct AdapterStats {
-    std::size_t caller_connections = 0;
-    std::size_t instance_connections = 0;
-    std::uint64_t instance_connections_total = 0;
-    std::uint64_t heartbeats_rejected = 0;
-    std::uint64_t log_lines_dropped = 0;
+    std::size_t caller_connections = 0;            ///< Open connections from callers.
+    std::size_t instance_connections = 0;          ///< Open connections to the local instance.
+    std::uint64_t instance_connections_total = 0;  ///< Connections opened to the local instance since the start.
+    std::uint64_t heartbeats_rejected = 0;         ///< Invalid, or for an unknown service.
+    std::uint64_t log_lines_dropped = 0;           ///< See ProcessLog::droppedLines.
 };
 
-/// Counts each call's end, and shows gauges of the node as they are when asked.
+/// Counts completed calls, and samples the gauges of the node at each scrape.
 class SidecarMetrics {
 public:
     SidecarMetrics();
+    /// Records the result and latency of one call.
     void onCallEnded(const entry::EntryReport& report);
+    /// @return all metrics in the Prometheus text format; the gauges are sampled now.
     [[nodiscard]] std::string text(sidecar::SidecarNode& node, const AdapterStats& stats);
 
 private:
--- a/src/adapters/sidecar_settings.cc
+++ b/src/adapters/sidecar_settings.cc
@@ -18,13 +18,13 @@
 constexpr double kMaxSeconds = 3600;
 constexpr double kMaxSlack = 1e6;
 
-/// Where a key stands, and its value as text.
+/// Value of a key as text, with its location in the file.
 struct SourceValue {
-    std::string location;
+    std::string location;  ///< "file:line".
     std::string text;
 };
 
-/// How one key is read and printed.
+/// Parser and printer of one key.
 struct SettingKey {
     const char* name;
     bool is_required;
@@ -68,8 +68,9 @@
             [name, member](SidecarSettings& settings, const SourceValue& source) -> Result<void> {
                 const auto address = parseSocketAddress(source.text);
                 if (!address) {
-                    return stepError(kStep, source.location,
-                                     std::string(name) + ": '" + source.text + "' is not ip:port with an IPv4 number");
+                    return stepError(
+                        kStep, source.location,
+                        std::string(name) + ": '" + source.text + "' is not ip:port with a numeric IPv4 address");
                 }
                 settings.*member = *address;
                 return {};
@@ -82,8 +83,9 @@
             [name, member](SidecarSettings& settings, const SourceValue& source) -> Result<void> {
                 settings.*member = parseSocketAddress(source.text);
                 if (!(settings.*member) && !source.text.empty()) {
-                    return stepError(kStep, source.location,
-                                     std::string(name) + ": '" + source.text + "' is not ip:port with an IPv4 number");
+                    return stepError(
+                        kStep, source.location,
+                        std::string(name) + ": '" + source.text + "' is not ip:port with a numeric IPv4 address");
                 }
                 return {};
             },
@@ -92,7 +94,7 @@
             }};
 }
 
-/// Addresses with commas between them; none is fine.
+/// Comma-separated addresses; may be empty.
 SettingKey addressListKey(const char* name, std::vector<SocketAddress> SidecarSettings::*member) {
     return {name, false,
             [name, member](SidecarSettings& settings, const SourceValue& source) -> Result<void> {
@@ -100,8 +102,9 @@
                 for (std::string item; std::getline(items, item, ',');) {
                     const auto address = parseSocketAddress(item);
                     if (!address) {
-                        return stepError(kStep, source.location,
-                                         std::string(name) + ": '" + item + "' is not ip:port with an IPv4 number");
+                        return stepError(
+                            kStep, source.location,
+                            std::string(name) + ": '" + item + "' is not ip:port with a numeric IPv4 address");
                     }
                     (settings.*member).push_back(*address);
                 }
@@ -121,7 +124,7 @@
     return {name, false,
             [=](SidecarSettings& settings, const SourceValue& source) -> Result<void> {
                 if (source.text.empty()) {
-                    return {};  // Left to its default.
+                    return {};  // Keeps the default.
                 }
                 BOOST_LEAF_AUTO(value, parseNumber(source, name, min, max));
                 set(settings, value);
@@ -202,7 +205,7 @@
         } else if (const auto number = value.value<double>()) {
             source.text = numberText(*number);
         } else {
-            return stepError(kStep, source.location, key + ": a text or a number is expected");
+            return stepError(kStep, source.location, key + ": a string or a number is expected");
         }
         values[key] = source;
     }
--- a/src/adapters/sidecar_settings.h
+++ b/src/adapters/sidecar_settings.h
@@ -1,5 +1,5 @@
 /// @file
-/// The settings file of a sidecar node.
+/// Settings file of a sidecar node (TOML).
 #pragma once
 
 #include <optional>
@@ -13,31 +13,31 @@
 
 namespace dewcrank::adapters {
 
-/// The settings, checked.
+/// Validated settings.
 struct SidecarSettings {
-    std::string name;
-    std::string zone;
-    std::string service;  ///< Of the instance beside the node.
-    SocketAddress callers;
-    SocketAddress nodes;
-    std::optional<SocketAddress> nodes_advertised;  ///< Told to other nodes in place of `nodes`.
-    SocketAddress heartbeats;
-    SocketAddress readiness;
-    std::optional<SocketAddress> metrics;  ///< Not served if it is not given.
-    SocketAddress instance;
-    SocketAddress store;
-    std::vector<SocketAddress> seeds;  ///< Heartbeat addresses of other nodes; may be out of date.
-    Duration heartbeat_interval = 1500ms;
-    decision::RepeatBound retry_limit{0.1, 10, 10s};
-    /// A revoked key runs nothing later than this after its revocation; zero: keys are not bound to that.
+    std::string name;                               ///< Unique name of the node.
+    std::string zone;                               ///< Availability zone of the node.
+    std::string service;                            ///< Service of the local instance.
+    SocketAddress callers;                          ///< Listens for requests of callers.
+    SocketAddress nodes;                            ///< Listens for requests of other nodes.
+    std::optional<SocketAddress> nodes_advertised;  ///< Published to other nodes in place of `nodes`.
+    SocketAddress heartbeats;                       ///< Listens for heartbeats, and for first contacts of other nodes.
+    SocketAddress readiness;                        ///< Listens for readiness probes.
+    std::optional<SocketAddress> metrics;           ///< Listens for metrics scrapes; none: not served.
+    SocketAddress instance;                         ///< Address of the local instance.
+    SocketAddress store;                            ///< Address of the store of the platform.
+    std::vector<SocketAddress> seeds;  ///< Heartbeat addresses of other nodes, for the first contact; may be outdated.
+    Duration heartbeat_interval = 1500ms;             ///< Interval at which the local instance sends heartbeats.
+    decision::RepeatBound retry_limit{0.1, 10, 10s};  ///< Limit of the retries of the service, over all relays.
+    /// Maximum time for which requests with a revoked key may still run; zero: not bounded.
     Duration key_revocation{};
-    Duration stop_grace = 6s;
+    Duration stop_grace = 6s;  ///< Time for calls in flight to complete when the node stops.
 };
 
-/// Reads a TOML file. An unknown key, a missing one or a value out of its limits is an error
-/// that names the file, the line, the key and what is allowed.
+/// Reads and validates a TOML file. @return the settings, or an error for an unknown key, a missing key or an invalid
+/// value. The error names the file, the line, the key and the valid values.
 Result<SidecarSettings> readSidecarSettings(const std::string& file);
-/// The settings in force, a key a line.
+/// @return the settings as text, one `key = value` per line.
 std::string describeSidecarSettings(const SidecarSettings& settings);
 
 }  // namespace dewcrank::adapters
--- a/src/adapters/socket_address.h
+++ b/src/adapters/socket_address.h
@@ -1,5 +1,5 @@
 /// @file
-/// "ip:port" texts.
+/// IPv4 socket addresses in the form "ip:port".
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,15 @@
 
 namespace dewcrank::adapters {
 
+/// IPv4 address and TCP port.
 struct SocketAddress {
-    std::string ip;
+    std::string ip;  ///< In dotted decimal notation.
     std::uint16_t port = 0;
+    /// @return "ip:port".
     [[nodiscard]] std::string text() const { return ip + ":" + std::to_string(port); }
 };
 
-/// Reads "ip:port" with an IPv4 number; nothing if it is anything else.
+/// Parses "ip:port" with a numeric IPv4 address. @return nothing if the text has another form.
 std::optional<SocketAddress> parseSocketAddress(const std::string& text);
 
 }  // namespace dewcrank::adapters
--- a/src/adapters/socket_stream.cc
+++ b/src/adapters/socket_stream.cc
@@ -14,9 +14,9 @@
 
 namespace {
 
-/// Read at once at most; a loop has one thread, so all streams share the room.
+/// Maximum size of one read. All streams share the buffer, since the loop has one thread.
 constexpr std::size_t kReadChunk = std::size_t{16} * 1024;
-/// A peer that acknowledges nothing for this long is gone (TCP_USER_TIMEOUT).
+/// Time without an acknowledgement after which the kernel closes the connection (TCP_USER_TIMEOUT).
 constexpr std::chrono::milliseconds kUnacknowledgedTimeout{5000};
 
 bool isTransient(int error) {
@@ -37,7 +37,7 @@
     evutil_closesocket(descriptor_);
 }
 
-// Begin ----------------------------------------------------------------------
+// Setup ----------------------------------------------------------------------
 
 void SocketStream::initSocket(evutil_socket_t descriptor) {
     descriptor_ = descriptor;
@@ -71,7 +71,7 @@
     socklen_t length = sizeof error;
     getsockopt(descriptor_, SOL_SOCKET, SO_ERROR, &error, &length);
     if (error != 0) {
-        fail(CloseReason::kError);
+        notifyClosed(CloseReason::kError);
         return;
     }
     is_connecting_ = false;
@@ -89,12 +89,12 @@
     const auto count = recv(descriptor_, chunk.data(), chunk.size(), 0);
     if (count < 0) {
         if (!isTransient(errno)) {
-            fail(CloseReason::kError);
+            notifyClosed(CloseReason::kError);
         }
         return;
     }
     if (count == 0) {
-        fail(CloseReason::kEndOfStream);
+        notifyClosed(CloseReason::kEndOfStream);
         return;
     }
     const std::string_view bytes(chunk.data(), static_cast<std::size_t>(count));
@@ -117,7 +117,6 @@
     deliver(bytes);
 }
 
-/// The wait for bytes is given up while too many were not taken.
 void SocketStream::updateReadEvent() {
     if (is_stopped_) {
         return;
@@ -133,8 +132,8 @@
 
 // Write ----------------------------------------------------------------------
 
-/// An error is not told here: what was not sent stays in `output`, and the loop finds the socket
-/// broken when it comes to write it.
+/// Errors are not reported here: unsent data stays in `output_`, and the next write from the loop fails and closes the
+/// stream.
 void SocketStream::write(std::string_view head, std::string_view body) {
     if (is_stopped_ || descriptor_ < 0) {
         return;
@@ -173,7 +172,7 @@
     const auto count = ::send(descriptor_, output_.data() + sent_, unsentBytes(), MSG_NOSIGNAL);
     if (count < 0) {
         if (!isTransient(errno)) {
-            fail(CloseReason::kError);
+            notifyClosed(CloseReason::kError);
         }
         return;
     }
@@ -192,7 +191,7 @@
     }
 }
 
-// End ------------------------------------------------------------------------
+// Close ----------------------------------------------------------------------
 
 void SocketStream::stop() {
     is_stopped_ = true;
@@ -202,7 +201,7 @@
     }
 }
 
-void SocketStream::fail(CloseReason reason) {
+void SocketStream::notifyClosed(CloseReason reason) {
     stop();
     listener_.onClosed(reason);
 }
@@ -214,7 +213,7 @@
 void SocketStream::onSocketWritable(evutil_socket_t, short what, void* self) {
     auto* stream = static_cast<SocketStream*>(self);
     if ((what & EV_TIMEOUT) != 0) {
-        stream->fail(CloseReason::kWriteTimeout);
+        stream->notifyClosed(CloseReason::kWriteTimeout);
     } else if (stream->is_connecting_) {
         stream->finishConnecting();
     } else {
--- a/src/adapters/socket_stream.h
+++ b/src/adapters/socket_stream.h
@@ -1,10 +1,9 @@
 /// @file
-/// One TCP connection with its buffers, on libevent's events.
+/// Buffered TCP connection on libevent events.
 ///
-/// Unlike a bufferevent it writes to the socket at once and waits for the socket only if that did
-/// not take all; it does not ask how much there is to read before it reads; and it hands on what it
-/// reads without a copy. Of the eight system calls that a message in and a message out cost with
-/// bufferevents, three are left (docs/adr/0012).
+/// It needs fewer system calls than a bufferevent: it writes to the socket at once and waits for the socket only if
+/// data is left, it reads without a query for the available size, and it passes input on without a copy
+/// (docs/adr/0012).
 #pragma once
 
 #include <event2/event.h>
@@ -18,28 +17,29 @@
 
 namespace dewcrank::adapters {
 
-/// How a stream has ended.
+/// Why a stream was closed.
 enum class CloseReason {
-    kEndOfStream,   ///< The peer has closed its side, after all that was read.
-    kError,         ///< Reset, not connected, or a failure of the socket.
-    kWriteTimeout,  ///< The peer took nothing for the write timeout.
+    kEndOfStream,   ///< The peer closed its sending side; all its data was read.
+    kError,         ///< Connection reset, connect failure or other socket error.
+    kWriteTimeout,  ///< The peer accepted no data for the write timeout.
 };
 
-/// Owns a socket. Its listener is called from the loop only, never from inside a call to the
-/// stream, and may not destroy the stream before it returns.
+/// Owns a socket and its buffers. Listener callbacks run from the loop, and never inside a call to the stream other
+/// than `redeliver`. They must not destroy the stream.
 class SocketStream {
 public:
+    /// Receives the events of a stream.
     class Listener {
     public:
         virtual ~Listener() = default;
-        /// After `connect`; not for accepted sockets.
+        /// Called when `connect` succeeds; not for accepted sockets.
         virtual void onConnected() {}
-        /// Bytes have been read; those that were not taken before come first.
-        /// @return how many are taken; the rest is kept for the next time.
+        /// Called with received bytes; bytes not consumed by earlier calls come first.
+        /// @return number of bytes consumed; the stream keeps the rest for the next call.
         virtual std::size_t onBytes(std::string_view bytes) = 0;
-        /// The last byte that had to wait has been written. Not called if `write` could send all.
+        /// Called when all buffered output is written. Not called if `write` could send everything at once.
         virtual void onWritten() {}
-        /// Called once; nothing follows it.
+        /// Called once, as the last callback.
         virtual void onClosed(CloseReason reason) = 0;
     };
 
@@ -48,51 +48,59 @@
     SocketStream(const SocketStream&) = delete;
     SocketStream& operator=(const SocketStream&) = delete;
 
-    // Begin
+    // Setup
 
-    /// @return false if no socket is to be had, or connecting fails at once.
+    /// Starts to connect. @return false if no socket can be created or connecting fails at once.
     bool connect(const sockaddr* address, unsigned length);
-    /// Takes a connected socket over.
+    /// Takes ownership of a connected socket.
     void accept(evutil_socket_t descriptor);
-    /// Stops reading while so many bytes have not been taken. 0: never.
+    /// Pauses reading while at least this many bytes are unconsumed (backpressure). 0: no limit.
     void setReadAhead(std::size_t bytes) { read_ahead_ = bytes; }
-    /// Zero: none.
+    /// Closes the stream if the peer accepts no data for this time. Zero: no timeout.
     void setWriteTimeout(Duration timeout) { write_timeout_ = timeout; }
 
-    // Use
+    // Input and output
 
-    /// Sends both parts, and keeps what the socket does not take.
+    /// Sends both parts, and buffers what the socket does not accept.
     void write(std::string_view head, std::string_view body);
-    /// Hands on again, now, what was read and not taken.
+    /// Passes the unconsumed bytes to the listener again, inside this call.
     void redeliver();
-    /// Nothing more is written: the peer sees the end.
+    /// Shuts down the sending side of the socket.
     void closeWriting();
-    /// The listener is not called any more.
+    /// Stops all callbacks to the listener. The socket stays open until destruction.
     void stop();
+    /// Received bytes that the listener has not consumed.
     [[nodiscard]] std::size_t unconsumedBytes() const { return input_.size(); }
+    /// Buffered output that the socket has not accepted.
     [[nodiscard]] std::size_t unsentBytes() const { return output_.size() - sent_; }
 
 private:
+    /// Sets the options and events of a new socket.
     void initSocket(evutil_socket_t descriptor);
     void finishConnecting();
     void read();
+    /// Passes bytes to the listener and keeps those that it does not consume.
     void deliver(std::string_view bytes);
+    /// Pauses or resumes reading, according to `read_ahead_`.
     void updateReadEvent();
     [[nodiscard]] std::size_t send(std::string_view head, std::string_view body) const;
+    /// Waits until the socket is writable, for the write timeout at most.
     void startWriteEvent();
+    /// Sends buffered output.
     void flush();
-    void fail(CloseReason reason);
+    /// Stops the stream and reports the reason to the listener.
+    void notifyClosed(CloseReason reason);
     static void onSocketReadable(evutil_socket_t descriptor, short what, void* self);
     static void onSocketWritable(evutil_socket_t descriptor, short what, void* self);
 
     EventLoop& loop_;
     Listener& listener_;
     evutil_socket_t descriptor_ = -1;
-    std::string input_;     ///< Read and not taken.
-    std::string output_;    ///< To be written, from `written_` on; empty when all is written.
+    std::string input_;     ///< Received bytes that are not consumed.
+    std::string output_;    ///< Output to send, starting at `sent_`; empty when everything is sent.
     std::size_t sent_ = 0;  ///< At most the size of `output_`.
-    event readable_{};      ///< Pending while `read_ahead_` is not reached.
-    event writable_{};      ///< Pending while connecting, or while there is output.
+    event readable_{};      ///< Pending unless `read_ahead_` is reached.
+    event writable_{};      ///< Pending while connecting or while output is buffered.
     std::size_t read_ahead_ = 0;
     Duration write_timeout_{};
     bool is_connecting_ = false;
--- a/tests/contract/event_loop_test.cc
+++ b/tests/contract/event_loop_test.cc
@@ -7,25 +7,24 @@
 
 namespace {
 
-/// For how long the machine was suspended, as the clocks of the test say. Nothing else moves them: two clocks that go
-/// on are never read at the same time. Timers take their real time all the same.
+/// Simulated duration of the suspension. Both clocks stand still otherwise; libevent timers run in real time.
 Duration suspended{};
-constexpr TimePoint kStart(100s);
+constexpr TimePoint kBootTime(100s);
 
-const adapters::LoopClocks kClocks{[] { return kStart + suspended; }, [] { return kStart; }};
+const adapters::LoopClocks kClocks{[] { return kBootTime + suspended; }, [] { return kBootTime; }};
 
 }  // namespace
 
 BOOST_AUTO_TEST_SUITE(contract_event_loop)
 
-/// The machine is suspended for an hour while timers wait: those that are due then fire at once, in a loop that
-/// does nothing else than ask for the time now and then; the others keep what is left of their time.
-BOOST_AUTO_TEST_CASE(time_and_timers_go_on_while_the_machine_is_suspended) {
+/// Guards against timers that ignore a suspension: after the resume, overdue timers fire at once and the others keep
+/// their remaining time.
+BOOST_AUTO_TEST_CASE(time_and_timers_include_a_suspension) {
     suspended = {};
     adapters::EventLoop loop(kClocks);
     std::vector<int> fired;
     Duration reported{};
-    loop.signalResumed().connect([&](Duration lasted) { reported += lasted; });
+    loop.signalResumed().connect([&](Duration duration) { reported += duration; });
     const auto before = loop.now();
     const auto due = loop.startTimer(std::chrono::minutes(30), [&] { fired.push_back(1); });
     const auto later = loop.startTimer(std::chrono::hours(1) + 50ms, [&] {
@@ -43,7 +42,7 @@
     BOOST_TEST((reported == std::chrono::hours(1)));
 }
 
-/// Without a suspension nothing is told, and a timer that is started in another's callback fires once.
+/// Guards against a false resume signal, and against a timer started in a callback that fires twice or never.
 BOOST_AUTO_TEST_CASE(timers_fire_in_order_without_a_suspension) {
     suspended = std::chrono::hours(2);
     adapters::EventLoop loop(kClocks);
--- a/tests/contract/http_client_test.cc
+++ b/tests/contract/http_client_test.cc
@@ -18,7 +18,7 @@
         request.path = "/x";
         const auto attempt = client.send(address, std::move(request), timeout,
                                          [&](AttemptResult received) { result = std::move(received); });
-        BOOST_TEST(!result.has_value());  // Never from inside `send`.
+        BOOST_TEST(!result.has_value());  // The callback must not run inside `send`.
         runUntil([&] { return result.has_value(); });
         return *result;
     }
@@ -39,22 +39,22 @@
     AttemptOutcome expected;
 };
 
-BOOST_AUTO_TEST_CASE(only_whole_answers_are_answers) {
+BOOST_AUTO_TEST_CASE(only_complete_responses_are_accepted) {
     const ResponseCase cases[] = {
-        {"whole", kComplete, false, AttemptOutcome::kAnswered},
-        {"whole, then closed", kComplete, true, AttemptOutcome::kAnswered},
+        {"complete", kComplete, false, AttemptOutcome::kAnswered},
+        {"complete, then closed", kComplete, true, AttemptOutcome::kAnswered},
         {"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", false,
          AttemptOutcome::kAnswered},
         {"no content", "HTTP/1.1 204 No Content\r\n\r\n", false, AttemptOutcome::kAnswered},
-        {"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello", true, AttemptOutcome::kUnknown},
-        {"cut in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n50\r\nhello", true,
+        {"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello", true, AttemptOutcome::kUnknown},
+        {"truncated chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n50\r\nhello", true,
          AttemptOutcome::kUnknown},
-        {"cut between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", true,
+        {"truncated between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", true,
          AttemptOutcome::kUnknown},
-        {"cut in the head", "HTTP/1.1 200 OK\r\nContent-Le", true, AttemptOutcome::kUnknown},
-        {"ends with the connection", "HTTP/1.1 200 OK\r\n\r\nhello", true, AttemptOutcome::kUnknown},
-        {"closed without an answer", "", true, AttemptOutcome::kUnknown},
-        {"no HTTP", "hello\r\n\r\n", true, AttemptOutcome::kUnknown},
+        {"truncated head", "HTTP/1.1 200 OK\r\nContent-Le", true, AttemptOutcome::kUnknown},
+        {"delimited by the close", "HTTP/1.1 200 OK\r\n\r\nhello", true, AttemptOutcome::kUnknown},
+        {"closed without a response", "", true, AttemptOutcome::kUnknown},
+        {"not HTTP", "hello\r\n\r\n", true, AttemptOutcome::kUnknown},
         {"too large", "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n", false, AttemptOutcome::kUnknown},
     };
     for (const auto& entry : cases) {
@@ -65,7 +65,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_may_end_with_its_connection_where_the_options_say_so) {
+BOOST_AUTO_TEST_CASE(a_close_delimited_response_is_complete_if_the_options_allow_it) {
     adapters::ClientOptions options;
     options.accepts_close_delimited = true;
     options.max_idle_per_address = 4;
@@ -82,7 +82,7 @@
     BOOST_TEST(result->answer.body == "hello");
 }
 
-BOOST_AUTO_TEST_CASE(bytes_behind_an_answer_spoil_the_connection) {
+BOOST_AUTO_TEST_CASE(bytes_after_a_response_prevent_reuse_of_the_connection) {
     tests::RawServer server(loop, kComplete + kComplete, false);
     BOOST_TEST((call(server.address()).outcome == AttemptOutcome::kAnswered));
     server.setResponse(kComplete, false);
@@ -90,14 +90,14 @@
     BOOST_TEST(server.connections() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_refused_connection_is_proof_that_nothing_was_sent) {
+BOOST_AUTO_TEST_CASE(a_refused_connection_counts_as_not_sent) {
     std::string address;
     { address = tests::RawServer(loop, kComplete, false).address(); }
     BOOST_TEST((call(address).outcome == AttemptOutcome::kNotSent));
     BOOST_TEST((call("no address").outcome == AttemptOutcome::kNotSent));
 }
 
-BOOST_AUTO_TEST_CASE(connections_are_used_again) {
+BOOST_AUTO_TEST_CASE(connections_are_reused) {
     tests::RawServer server(loop, kComplete, false);
     for (int count = 0; count < 5; ++count) {
         BOOST_TEST((call(server.address()).outcome == AttemptOutcome::kAnswered));
@@ -115,12 +115,12 @@
     BOOST_TEST(server.requests() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_timeout_is_unknown_and_its_late_answer_reaches_nobody) {
+BOOST_AUTO_TEST_CASE(a_timeout_is_unknown_and_its_late_response_is_discarded) {
     tests::RawServer unresponsive(loop, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", false);
     BOOST_TEST((call(unresponsive.address(), 300ms).outcome == AttemptOutcome::kUnknown));
     unresponsive.setResponse(kComplete, false);
     BOOST_TEST(call(unresponsive.address()).answer.body == "hello");
-    BOOST_TEST(unresponsive.connections() == 2);  // The first one was not used again.
+    BOOST_TEST(unresponsive.connections() == 2);  // The first connection was not reused.
 }
 
 BOOST_AUTO_TEST_CASE(a_cancelled_attempt_never_calls_back) {
--- a/tests/contract/http_server_test.cc
+++ b/tests/contract/http_server_test.cc
@@ -33,7 +33,7 @@
         return descriptor;
     }
 
-    /// Sends bytes and reads until the server closes or has answered.
+    /// Sends bytes, and reads until the response head is complete or the server closes. @return the status line.
     std::string exchange(const std::string& bytes) {
         const int descriptor = connect();
         BOOST_REQUIRE(write(descriptor, bytes.data(), bytes.size()) == static_cast<ssize_t>(bytes.size()));
@@ -73,7 +73,7 @@
 struct RequestCase {
     const char* name;
     std::string request;
-    const char* status;  ///< Empty: closed without an answer.
+    const char* status;  ///< Expected in the status line. Empty: closed without a response.
     int expected_requests;
 };
 
@@ -81,19 +81,19 @@
 
 BOOST_FIXTURE_TEST_SUITE(contract_http_server, ServerFixture)
 
-BOOST_AUTO_TEST_CASE(bad_requests_are_answered_and_never_handed_on) {
+BOOST_AUTO_TEST_CASE(invalid_requests_are_rejected_and_never_handled) {
     const std::string long_header(2000, 'a');
     const RequestCase cases[] = {
         {"good", "GET / HTTP/1.1\r\nHost: a\r\n\r\n", "200", 1},
-        {"no HTTP", "hello\r\n\r\n", "400", 0},
+        {"not HTTP", "hello\r\n\r\n", "400", 0},
         {"header without a colon", "GET / HTTP/1.1\r\nbroken\r\n\r\n", "400", 0},
         {"header too long", "GET / HTTP/1.1\r\nA: " + long_header + "\r\n\r\n", "400", 0},
         {"body too long", "POST / HTTP/1.1\r\nContent-Length: 100000\r\n\r\n", "413", 0},
-        {"length that is no number", "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n", "400", 0},
+        {"length that is not a number", "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n", "400", 0},
         {"unknown method", "BREW / HTTP/1.1\r\n\r\n", "501", 0},
-        {"method that is not passed on", "TRACE / HTTP/1.1\r\nHost: a\r\n\r\n", "501", 0},
+        {"method that is not forwarded", "TRACE / HTTP/1.1\r\nHost: a\r\n\r\n", "501", 0},
         {"no host", "GET / HTTP/1.1\r\n\r\n", "400", 0},
-        {"two lengths that differ", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
+        {"two different lengths", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
          "400", 0},
         {"signed length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +5\r\n\r\nabcde", "400", 0},
         {"length and chunks",
@@ -103,14 +103,14 @@
          "400", 0},
         {"unknown encoding", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", "400",
          0},
-        {"blank before the colon", "GET / HTTP/1.1\r\nHost: a\r\nB : c\r\n\r\n", "400", 0},
+        {"space before the colon", "GET / HTTP/1.1\r\nHost: a\r\nB : c\r\n\r\n", "400", 0},
         {"folded line", "GET / HTTP/1.1\r\nHost: a\r\nB: c\r\n d\r\n\r\n", "400", 0},
-        {"odd byte in a name", "GET / HTTP/1.1\r\nHost: a\r\nB(: c\r\n\r\n", "400", 0},
+        {"invalid character in a name", "GET / HTTP/1.1\r\nHost: a\r\nB(: c\r\n\r\n", "400", 0},
         {"control byte in a value", "GET / HTTP/1.1\r\nHost: a\r\nB: c\x01\r\n\r\n", "400", 0},
         {"lone carriage return", "GET / HTTP/1.1\r\nHost: a\rB: c\r\n\r\n", "400", 0},
-        {"chunk size that is no number", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n",
+        {"chunk size that is not a number", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n",
          "400", 0},
-        {"slow caller", "POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc", "", 0},
+        {"slow client", "POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc", "", 0},
     };
     for (const auto& entry : cases) {
         received = 0;
@@ -120,7 +120,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_caller_that_leaves_is_noticed_before_the_answer) {
+BOOST_AUTO_TEST_CASE(a_client_disconnect_is_detected_before_the_response) {
     reply_at_once = false;
     const int descriptor = connect();
     const std::string request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -128,10 +128,10 @@
     runUntil([&] { return received == 1; });
     close(descriptor);
     runUntil([&] { return disconnected_clients == 1; });
-    pending.front()->reply(HttpAnswer{});  // Too late: ignored.
+    pending.front()->reply(HttpAnswer{});  // Ignored: the client has disconnected.
 }
 
-BOOST_AUTO_TEST_CASE(requests_behind_each_other_are_answered_in_their_order) {
+BOOST_AUTO_TEST_CASE(pipelined_requests_get_their_responses_in_order) {
     reply_at_once = false;
     const int descriptor = connect();
     const std::string requests = "GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -156,7 +156,7 @@
     close(descriptor);
 }
 
-BOOST_AUTO_TEST_CASE(a_caller_that_leaves_is_noticed_behind_requests_that_wait) {
+BOOST_AUTO_TEST_CASE(a_client_disconnect_is_detected_behind_pending_pipelined_requests) {
     reply_at_once = false;
     const int descriptor = connect();
     const std::string request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -189,7 +189,7 @@
     close(busy);
 }
 
-BOOST_AUTO_TEST_CASE(a_stopping_server_closes_after_the_answer_and_takes_no_more) {
+BOOST_AUTO_TEST_CASE(a_stopping_server_closes_after_the_response_and_accepts_no_connection) {
     reply_at_once = false;
     const int descriptor = connect();
     const std::string request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
--- a/tests/contract/loop_fixture.h
+++ b/tests/contract/loop_fixture.h
@@ -1,5 +1,5 @@
 /// @file
-/// A real loop with a time limit, for tests on loopback.
+/// Test fixture with a real event loop and a time limit, for tests on the loopback interface.
 #pragma once
 
 #include <boost/test/unit_test.hpp>
@@ -9,12 +9,13 @@
 
 namespace dewcrank::tests {
 
-/// Generous bound for anything that a test waits for.
+/// Time after which a wait fails the test.
 inline constexpr Duration kWaitLimit = 20s;
 
+/// Owns an event loop, and runs it until a condition holds.
 class LoopFixture {
 public:
-    /// Runs the loop until `done` says so; fails the test after the limit.
+    /// Runs the loop until `done` returns true; fails the test after kWaitLimit.
     void runUntil(const std::function<bool()>& done) {
         const auto started = loop.now();
         while (!done()) {
--- a/tests/contract/process_log_test.cc
+++ b/tests/contract/process_log_test.cc
@@ -10,7 +10,7 @@
 
 BOOST_AUTO_TEST_SUITE(contract_process_log)
 
-BOOST_AUTO_TEST_CASE(a_full_pipe_holds_nothing_up_and_the_loss_is_told_when_there_is_room) {
+BOOST_AUTO_TEST_CASE(a_full_pipe_does_not_block_and_dropped_lines_are_reported_later) {
     std::fflush(stdout);
     const int kept = dup(STDOUT_FILENO);
     int ends[2];
@@ -18,7 +18,7 @@
     dup2(ends[1], STDOUT_FILENO);
     const auto dropped_before = adapters::ProcessLog::droppedLines();
     adapters::ProcessLog log("");
-    constexpr int kLines = 20'000;  // Far more than a pipe holds; a blocking write would hang here.
+    constexpr int kLines = 20'000;  // More than a pipe holds: a blocking write would hang here.
     for (int number = 0; number < kLines; ++number) {
         log.write(Event("filler").with("number", number).with("text", std::string(40, 'x')));
     }
--- a/tests/contract/raw_server.h
+++ b/tests/contract/raw_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// A TCP server that answers with exact bytes, for what no HTTP library would send.
+/// TCP server that sends fixed bytes, for responses that an HTTP library would not produce.
 #pragma once
 
 #include <event2/buffer.h>
@@ -14,7 +14,8 @@
 
 namespace dewcrank::tests {
 
-/// Counts requests (by their blank line) and answers each with `answer`, then closes if told to.
+/// Counts requests, recognized by their blank line, and sends `response` to each. An empty response, or
+/// `close_after_response`, closes the connection.
 class RawServer {
 public:
     RawServer(adapters::EventLoop& loop, std::string response, bool close_after_response)
--- a/tests/contract/store_contract_test.cc
+++ b/tests/contract/store_contract_test.cc
@@ -1,5 +1,5 @@
-/// One contract for the store as nodes use it, run against the platform's translation with the
-/// stand-in of the store, and against the simulator's model; and the operators' side of the first.
+/// Contract of ControlStore, run against the platform client with the stand-in store and against the simulator's model;
+/// and the contract of TableStore for the platform client. Guards against a model that differs from the platform.
 
 #include <boost/test/unit_test.hpp>
 #include <memory>
@@ -37,7 +37,7 @@
         {"Limits", {{"MaxHeaderBytes", 100}, {"MaxBodyBytes", 200}, {"HeaderTimeoutMs", 300}, {"IdleTimeoutMs", 400}}}};
 }
 
-/// A store under test, with a way to let time pass until something has happened.
+/// One implementation under test, with control over time and faults.
 class StoreUnderTest {
 public:
     virtual ~StoreUnderTest() = default;
@@ -45,12 +45,14 @@
     virtual void runUntil(const std::function<bool()>& done) = 0;
     virtual void putTable(std::uint64_t version) = 0;
     virtual void setDown(bool is_down) = 0;
+    /// Discards the revisions before the current one, so that older watches cannot continue.
     virtual void forgetHistory() = 0;
-    /// The store loses all that was written since `saveCopy`.
     virtual void saveCopy() = 0;
+    /// Restores the state at `saveCopy`; later writes are lost.
     virtual void returnFromCopy() = 0;
 };
 
+/// The platform client with the stand-in store, on a real event loop.
 class PlatformStore : public StoreUnderTest, public tests::LoopFixture {
 public:
     PlatformStore() {
@@ -82,6 +84,7 @@
     std::unique_ptr<platform::ObjectStore> client_;
 };
 
+/// The model of the simulator, in virtual time.
 class ModelStore : public StoreUnderTest {
 public:
     ModelStore() { queue_.runUntil(TimePoint(1s)); }
@@ -158,7 +161,7 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_watch_from_before_the_history_says_so) {
+BOOST_AUTO_TEST_CASE(a_watch_from_a_discarded_revision_requires_a_new_read) {
     forEachStore([](StoreUnderTest& fixture) {
         fixture.putTable(1);
         const auto revision = readTable(fixture)->revision;
@@ -186,7 +189,7 @@
         fixture.runUntil([&] { return done == 1; });
         fixture.store().announce({"b", "east", "10.0.0.2:1"}, countDone);
         fixture.runUntil([&] { return done == 2; });
-        fixture.store().announce({"a", "north", "10.0.0.9:1"}, countDone);  // At another address now.
+        fixture.store().announce({"a", "north", "10.0.0.9:1"}, countDone);  // Replaces the address.
         fixture.runUntil([&] { return done == 3; });
         refresh();
         BOOST_REQUIRE(listed->size() == 2U);
@@ -200,7 +203,7 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_store_that_is_away_gives_nothing) {
+BOOST_AUTO_TEST_CASE(an_unavailable_store_returns_nothing) {
     forEachStore([](StoreUnderTest& fixture) {
         fixture.putTable(1);
         fixture.setDown(true);
@@ -214,7 +217,7 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_store_that_is_back_from_a_copy_says_so_and_has_lost_what_came_after) {
+BOOST_AUTO_TEST_CASE(a_restored_store_increments_its_era_and_lacks_later_writes) {
     forEachStore([](StoreUnderTest& fixture) {
         fixture.putTable(1);
         const auto before = readTable(fixture);
@@ -230,7 +233,8 @@
         BOOST_TEST(fixture.store().era() == era + 1);
         BOOST_TEST(read->table->version() == 1U);
         BOOST_TEST(read->revision == before->revision);
-        const auto unknown = watchTable(fixture, lost->revision, [] {});  // A revision that it does not have.
+        const auto unknown =
+            watchTable(fixture, lost->revision, [] {});  // Revision that the restored store does not have.
         BOOST_REQUIRE(unknown.has_value());
         BOOST_TEST(unknown->revision == 0U);
     });
@@ -255,7 +259,7 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_CASE(an_edit_is_saved_once_and_keeps_what_the_platform_holds_beside_the_table, ConfigFixture) {
+BOOST_FIXTURE_TEST_CASE(an_edit_is_saved_once_and_keeps_other_fields_of_the_platform, ConfigFixture) {
     BOOST_TEST(!read().has_value());
     putTable(7);
     auto stored = read();
@@ -274,7 +278,7 @@
     BOOST_TEST(document["Limits"]["MaxBodyBytes"] == 200);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_write_whose_answer_is_lost_is_unknown, ConfigFixture) {
+BOOST_FIXTURE_TEST_CASE(a_write_whose_response_is_lost_is_unknown, ConfigFixture) {
     putTable(7);
     auto stored = read();
     server.faults().lost_answers = 1;
@@ -284,8 +288,8 @@
     BOOST_TEST(read()->table.version() == 8U);
 }
 
-/// The table that is there has the revision of the one that was read, and is another one.
-BOOST_FIXTURE_TEST_CASE(an_edit_of_what_was_read_before_the_store_came_back_from_a_copy_is_not_saved, ConfigFixture) {
+/// Guards against a lost update: after a restore, another table may have the revision of the one that was read.
+BOOST_FIXTURE_TEST_CASE(an_edit_of_a_table_read_before_a_restore_is_not_saved, ConfigFixture) {
     putTable(7);
     server.saveCopy();
     putTable(8);
--- a/tests/unit/adapters/event_names_test.cc
+++ b/tests/unit/adapters/event_names_test.cc
@@ -1,4 +1,4 @@
-/// The operators' page lists every event that a sidecar node writes.
+/// Guards against log events that are missing in docs/OPERATIONS.md.
 
 #include <boost/test/unit_test.hpp>
 #include <filesystem>
@@ -15,7 +15,7 @@
                                 "src/instance", "src/quarantine", "src/quota", "apps/sidecar"};
 const char* const kFiles[] = {"src/adapters/rate_limited_log.cc", "src/adapters/process_log.cc"};
 
-std::string textOf(const std::filesystem::path& file) {
+std::string readFile(const std::filesystem::path& file) {
     std::ifstream stream(file);
     std::ostringstream text;
     text << stream.rdbuf();
@@ -24,7 +24,7 @@
 
 void addEvents(const std::filesystem::path& file, std::set<std::string>* names) {
     static const std::regex kEvent("Event\\((?:[a-z_ ]+ \\? )?\"([a-z_]+)\"(?: : \"([a-z_]+)\")?");
-    const auto text = textOf(file);
+    const auto text = readFile(file);
     for (std::sregex_iterator it(text.begin(), text.end(), kEvent), end; it != end; ++it) {
         names->insert((*it)[1]);
         if ((*it)[2].matched) {
@@ -37,7 +37,7 @@
 
 BOOST_AUTO_TEST_SUITE(unit_adapters_event_names)
 
-BOOST_AUTO_TEST_CASE(every_event_stands_on_the_operators_page) {
+BOOST_AUTO_TEST_CASE(every_event_is_documented_for_operators) {
     std::set<std::string> names;
     for (const auto* folder : kFolders) {
         for (const auto& entry : std::filesystem::directory_iterator(kSource / folder)) {
@@ -49,9 +49,9 @@
     }
     BOOST_TEST(names.size() > 15U);
     BOOST_TEST(names.contains("relay_refused"));
-    const auto page = textOf(kSource / "docs/OPERATIONS.md");
+    const auto operators_page = readFile(kSource / "docs/OPERATIONS.md");
     for (const auto& name : names) {
-        BOOST_TEST(page.find(name) != std::string::npos, name << " is not listed");
+        BOOST_TEST(operators_page.find(name) != std::string::npos, name << " is not documented");
     }
 }
 
--- a/tests/unit/adapters/http_parser_fuzz_test.cc
+++ b/tests/unit/adapters/http_parser_fuzz_test.cc
@@ -1,5 +1,5 @@
-/// Mutated messages at the parser. What it takes as whole must mean one thing only: the same in
-/// one piece as byte by byte, and the same again after it has been written out for the next hop.
+/// Guards against request smuggling, with mutated messages: an accepted message must parse equally in one piece, byte
+/// by byte, and after it is written for the next hop.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -30,7 +30,7 @@
     "HTTP/1.1 503 No\r\nContent-Length: 0\r\nRetry-After: 1\r\n\r\n",
     "HTTP/1.1 204 Nothing\r\n\r\n",
 };
-const std::vector<std::string> kFragments = {
+const std::vector<std::string> kInsertions = {
     "\r\n", "\n",    "\r",   " ",      "\t",   ":",           "Content-Length: 3\r\n", "Transfer-Encoding: chunked\r\n",
     "0",    "\r\n0", ";x=1", "+5",     "-1",   "0x10",        "chunked, identity",     "Host: other\r\n",
     "\r\n", "\0",    "GET ", "HTTP/1", "\xff", "\r\n folded", "18446744073709551616",  "Connection: keep-alive\r\n"};
@@ -40,7 +40,7 @@
     std::size_t consumed = 0;
 };
 
-/// Feeds a text in pieces of a size until the message has ended, one way or the other.
+/// Feeds a text in pieces of the given size until the message is complete or rejected.
 Outcome feed(HttpMessageParser& parser, const std::string& text, std::size_t piece) {
     Outcome outcome;
     while (outcome.consumed < text.size() && outcome.state == State::kIncomplete) {
@@ -56,7 +56,7 @@
     return outcome;
 }
 
-std::string textOf(const Headers& headers) {
+std::string headersText(const Headers& headers) {
     std::string text;
     for (const auto& line : headers.lines()) {
         text += line.name + ": " + line.value + "\n";
@@ -105,7 +105,8 @@
     const auto reparsed = next.takeRequest();
     BOOST_REQUIRE_MESSAGE(reparsed.path == request.path && reparsed.method == request.method, text);
     BOOST_REQUIRE_MESSAGE(reparsed.body == request.body, text);
-    BOOST_REQUIRE_MESSAGE(textOf(withoutFraming(reparsed.headers)) == textOf(withoutFraming(request.headers)), text);
+    BOOST_REQUIRE_MESSAGE(headersText(withoutFraming(reparsed.headers)) == headersText(withoutFraming(request.headers)),
+                          text);
 }
 
 void checkResponse(const std::string& text) {
@@ -126,18 +127,18 @@
 
 BOOST_AUTO_TEST_SUITE(unit_adapters_http_parser_fuzz)
 
-BOOST_AUTO_TEST_CASE(mutated_requests_mean_one_thing_or_are_refused) {
+BOOST_AUTO_TEST_CASE(mutated_requests_are_unambiguous_or_rejected) {
     for (const auto seed : kSeeds) {
-        tests::Mutator mutator(seed, kFragments);
+        tests::Mutator mutator(seed, kInsertions);
         for (int round = 0; round < kRounds; ++round) {
             checkRequest(mutator.mutated(kRequests[mutator.below(kRequests.size())]));
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(mutated_answers_mean_one_thing_or_are_refused) {
+BOOST_AUTO_TEST_CASE(mutated_responses_are_unambiguous_or_rejected) {
     for (const auto seed : kSeeds) {
-        tests::Mutator mutator(seed, kFragments);
+        tests::Mutator mutator(seed, kInsertions);
         for (int round = 0; round < kRounds; ++round) {
             checkResponse(mutator.mutated(kResponses[mutator.below(kResponses.size())]));
         }
--- a/tests/unit/adapters/sidecar_settings_test.cc
+++ b/tests/unit/adapters/sidecar_settings_test.cc
@@ -67,7 +67,7 @@
          "sidecar-settings-test.toml:14: retries.ratio: 'x' is not a number from 0"},
         {kValidSettings + "[retries]\nratio = 3\n", "is not a number from 0 to 1"},
         {kValidSettings + "[retries]\nodd = 3\n", "sidecar-settings-test.toml:14: retries.odd: unknown key"},
-        {kValidSettings + "[stop]\ngrace_s = true\n", "a text or a number is expected"},
+        {kValidSettings + "[stop]\ngrace_s = true\n", "a string or a number is expected"},
         {"name = \"\"\n" + kValidSettings.substr(kValidSettings.find('\n') + 1), "name: must not be empty"},
         {"name = \"n\"\nzone\n", "sidecar-settings-test.toml:2"},
     };
