--- a/apps/sidecar/sidecar_daemon.h
+++ b/apps/sidecar/sidecar_daemon.h
@@ -5,11 +5,11 @@
 #include <memory>
 #include <string>
 
-#include "src/adapters/bounded_log.h"
 #include "src/adapters/event_loop.h"
 #include "src/adapters/http_client.h"
 #include "src/adapters/http_server.h"
 #include "src/adapters/process_log.h"
+#include "src/adapters/rate_limited_log.h"
 #include "src/adapters/seeded_random.h"
 #include "src/adapters/sidecar_metrics.h"
 #include "src/adapters/sidecar_settings.h"
@@ -57,7 +57,7 @@
     std::string settings_file_;
     adapters::EventLoop loop_;
     adapters::ProcessLog process_log_;
-    adapters::BoundedLog log_;
+    adapters::RateLimitedLog log_;
     adapters::SidecarMetrics metrics_;
     adapters::SeededRandom random_;
     adapters::HttpClient nodes_;       ///< Client for other nodes.
--- a/src/adapters/event_loop.cc
+++ b/src/adapters/event_loop.cc
@@ -18,21 +18,21 @@
 
 namespace {
 
-/// Suspensions last for seconds; less than this is the time between two readings of a clock.
-constexpr Duration kLeastSuspension = 20ms;
+/// A smaller difference of the clocks is the delay between the two readings.
+constexpr Duration kMinSuspension = 20ms;
 
 TimePoint readClock(clockid_t clock) {
     timespec time{};
     clock_gettime(clock, &time);
-    const auto whole = std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
-    return TimePoint(std::chrono::duration_cast<Duration>(whole));
+    const auto time_since_epoch = std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
+    return TimePoint(std::chrono::duration_cast<Duration>(time_since_epoch));
 }
 
 }  // namespace
 
-const LoopClocks kMachineClocks{[] { return readClock(CLOCK_BOOTTIME); }, [] { return readClock(CLOCK_MONOTONIC); }};
+const LoopClocks kSystemClocks{[] { return readClock(CLOCK_BOOTTIME); }, [] { return readClock(CLOCK_MONOTONIC); }};
 
-/// Stands in its loop's list while it is set.
+/// Linked into the list of its loop while pending.
 class EventLoop::LoopTimer : public Timer {
 public:
     LoopTimer(const EventLoop& loop, TimePoint due, std::function<void()> callback)
@@ -53,14 +53,15 @@
     LoopTimer(const LoopTimer&) = delete;
     LoopTimer& operator=(const LoopTimer&) = delete;
 
-    void set(TimePoint now) {
+    /// Starts the libevent timer, also when it is running already.
+    void arm(TimePoint now) {
         const auto value = toTimeval(due_ - now);
         evtimer_add(event_, &value);
     }
     [[nodiscard]] LoopTimer* next() const { return next_; }
 
 private:
-    /// The callback is moved out first: it may destroy this timer.
+    /// The callback may destroy this timer, so it is moved out first.
     static void onFired(evutil_socket_t, short, void* self) {
         auto* it = static_cast<LoopTimer*>(self);
         it->unlink();
@@ -87,70 +88,71 @@
     bool is_linked_ = true;
 };
 
-struct EventLoop::SignalWatch {
+struct EventLoop::SignalHandler {
     std::function<void()> callback;
     event* handle = nullptr;
-    SignalWatch() = default;
-    ~SignalWatch() {
+    SignalHandler() = default;
+    ~SignalHandler() {
         if (handle != nullptr) {
             event_free(handle);
         }
     }
-    SignalWatch(const SignalWatch&) = delete;
-    SignalWatch& operator=(const SignalWatch&) = delete;
+    SignalHandler(const SignalHandler&) = delete;
+    SignalHandler& operator=(const SignalHandler&) = delete;
 };
 
 EventLoop::EventLoop(const LoopClocks& clocks)
-    : clocks_(clocks), base_(event_base_new()), suspended_(clocks.counts_suspension() - clocks.stands_still()) {
+    : clocks_(clocks), base_(event_base_new()), total_suspended_(clocks.boottime() - clocks.monotonic()) {
     if (base_ == nullptr) {
-        throw std::runtime_error("event loop: cannot be created");
+        throw std::runtime_error("event loop: event_base_new failed");
     }
-    // Writing to a connection that the other side has closed must not end the process.
+    // A write to a connection that the peer has closed must not terminate the process.
     std::signal(SIGPIPE, SIG_IGN);
 }
 
 EventLoop::~EventLoop() {
-    signals_.clear();
-    woken_timer_.reset();
+    signal_handlers_.clear();
+    resumed_timer_.reset();
     event_base_free(base_);
 }
 
-/// The clock that goes on is read first: time that passes between the two readings never looks like a suspension.
+/// The boottime clock is read first, so that a delay between the two readings does not count as a suspension.
 TimePoint EventLoop::now() const {
-    const auto now = clocks_.counts_suspension();
-    const auto suspended = now - clocks_.stands_still();
-    if (suspended - suspended_ >= kLeastSuspension) {
-        onWoken(now, suspended);
+    const auto now = clocks_.boottime();
+    const auto suspended = now - clocks_.monotonic();
+    if (suspended - total_suspended_ >= kMinSuspension) {
+        onResumed(now, suspended);
     }
     return now;
 }
 
-void EventLoop::onWoken(TimePoint now, Duration suspended) const {
-    const auto lasted = suspended - std::exchange(suspended_, suspended);
+void EventLoop::onResumed(TimePoint now, Duration suspended) const {
+    const auto duration = suspended - std::exchange(total_suspended_, suspended);
     for (auto* it = timers_; it != nullptr; it = it->next()) {
-        it->set(now);
+        it->arm(now);
     }
-    woken_timer_ = setTimer(now, [this, lasted] { signal_woken_.emit(lasted); });
+    resumed_timer_ = startTimerAt(now, [this, duration] { signal_resumed_.emit(duration); });
 }
 
-TimerHandle EventLoop::setTimer(TimePoint due, std::function<void()> callback) const {
+TimerHandle EventLoop::startTimerAt(TimePoint due, std::function<void()> callback) const {
     auto timer = std::make_unique<LoopTimer>(*this, due, std::move(callback));
-    timer->set(now());
+    timer->arm(now());
     return timer;
 }
 
 TimerHandle EventLoop::startTimer(Duration delay, std::function<void()> callback) {
-    return setTimer(now() + delay, std::move(callback));
+    return startTimerAt(now() + delay, std::move(callback));
 }
 
 void EventLoop::onSignal(int signal_number, std::function<void()> callback) {
-    auto watch = std::make_unique<SignalWatch>();
-    watch->callback = std::move(callback);
-    watch->handle = evsignal_new(
+    auto handler = std::make_unique<SignalHandler>();
+    handler->callback = std::move(callback);
+    handler->handle = evsignal_new(
         base_, signal_number,
-        [](evutil_socket_t, short, void* argument) { static_cast<SignalWatch*>(argument)->callback(); }, watch.get());
-    evsignal_add(watch->handle, nullptr);
-    signals_.push_back(std::move(watch));
+        [](evutil_socket_t, short, void* argument) { static_cast<SignalHandler*>(argument)->callback(); },
+        handler.get());
+    evsignal_add(handler->handle, nullptr);
+    signal_handlers_.push_back(std::move(handler));
 }
 
 void EventLoop::run() {
--- a/src/adapters/process_log.cc
+++ b/src/adapters/process_log.cc
@@ -15,10 +15,11 @@
 constexpr const char* kLogger = "dewcrank";
 constexpr const char* kSinkName = "unblocked-output";
 
-/// Writes to standard output only what goes without waiting. A pipe that is ready takes PIPE_BUF
-/// bytes at least, so a line up to that size is written whole or not at all.
-class UnblockedOutput : public el::LogDispatchCallback {
+/// Writes lines to standard output if that does not block. A pipe that is ready accepts at least PIPE_BUF bytes, so
+/// lines are truncated to that size and written completely or dropped.
+class NonBlockingStdout : public el::LogDispatchCallback {
 public:
+    /// Number of dropped lines in this process.
     static std::uint64_t& dropped() {
         static std::uint64_t count = 0;
         return count;
@@ -27,7 +28,7 @@
 protected:
     void handle(const el::LogDispatchData* data) override {
         auto* logger = data->logMessage()->logger();
-        if (logger->id() != kLogger || !is_on) {
+        if (logger->id() != kLogger || !is_enabled) {
             return;
         }
         auto line = logger->logBuilder()->build(data->logMessage(), true);
@@ -49,10 +50,10 @@
     }
 
 public:
-    bool is_on = false;
+    bool is_enabled = false;  ///< False while the log goes to a file.
 
 private:
-    std::uint64_t unreported_ = 0;
+    std::uint64_t unreported_ = 0;  ///< Dropped lines that no log line has reported.
 };
 
 }  // namespace
@@ -68,8 +69,8 @@
     }
     el::Loggers::getLogger(kLogger);
     el::Loggers::reconfigureLogger(kLogger, configuration);
-    el::Helpers::installLogDispatchCallback<UnblockedOutput>(kSinkName);
-    el::Helpers::logDispatchCallback<UnblockedOutput>(kSinkName)->is_on = file.empty();
+    el::Helpers::installLogDispatchCallback<NonBlockingStdout>(kSinkName);
+    el::Helpers::logDispatchCallback<NonBlockingStdout>(kSinkName)->is_enabled = file.empty();
 }
 
 void ProcessLog::write(const Event& event) {
@@ -77,7 +78,7 @@
 }
 
 std::uint64_t ProcessLog::droppedLines() {
-    return UnblockedOutput::dropped();
+    return NonBlockingStdout::dropped();
 }
 
 }  // namespace dewcrank::adapters
--- a/tests/contract/http_client_test.cc
+++ b/tests/contract/http_client_test.cc
@@ -16,9 +16,9 @@
         HttpRequest request;
         request.method = method;
         request.path = "/x";
-        const auto attempt =
-            client.send(address, std::move(request), timeout, [&](AttemptResult ended) { result = std::move(ended); });
-        BOOST_TEST(!result.has_value());  // Never from inside `send`.
+        const auto attempt = client.send(address, std::move(request), timeout,
+                                         [&](AttemptResult received) { result = std::move(received); });
+        BOOST_TEST(!result.has_value());  // The callback must not run inside `send`.
         runUntil([&] { return result.has_value(); });
         return *result;
     }
@@ -26,78 +26,79 @@
     adapters::HttpClient client{loop, adapters::HttpLimits{1024, 4096}};
 };
 
-const std::string kWhole = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
+const std::string kComplete = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
 }  // namespace
 
 BOOST_FIXTURE_TEST_SUITE(contract_http_client, ClientFixture)
 
-struct AnswerCase {
+struct ResponseCase {
     const char* name;
     std::string response;
-    bool closes;
+    bool close_after_response;
     AttemptOutcome expected;
 };
 
-BOOST_AUTO_TEST_CASE(only_whole_answers_are_answers) {
-    const AnswerCase cases[] = {
-        {"whole", kWhole, false, AttemptOutcome::kResponded},
-        {"whole, then closed", kWhole, true, AttemptOutcome::kResponded},
+BOOST_AUTO_TEST_CASE(only_complete_responses_are_accepted) {
+    const ResponseCase cases[] = {
+        {"complete", kComplete, false, AttemptOutcome::kResponded},
+        {"complete, then closed", kComplete, true, AttemptOutcome::kResponded},
         {"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", false,
          AttemptOutcome::kResponded},
         {"no content", "HTTP/1.1 204 No Content\r\n\r\n", false, AttemptOutcome::kResponded},
-        {"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello", true, AttemptOutcome::kUnknown},
-        {"cut in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n50\r\nhello", true,
+        {"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello", true, AttemptOutcome::kUnknown},
+        {"truncated chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n50\r\nhello", true,
          AttemptOutcome::kUnknown},
-        {"cut between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", true,
+        {"truncated between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", true,
          AttemptOutcome::kUnknown},
-        {"cut in the head", "HTTP/1.1 200 OK\r\nContent-Le", true, AttemptOutcome::kUnknown},
-        {"ends with the connection", "HTTP/1.1 200 OK\r\n\r\nhello", true, AttemptOutcome::kUnknown},
-        {"closed without an answer", "", true, AttemptOutcome::kUnknown},
-        {"no HTTP", "hello\r\n\r\n", true, AttemptOutcome::kUnknown},
+        {"truncated head", "HTTP/1.1 200 OK\r\nContent-Le", true, AttemptOutcome::kUnknown},
+        {"delimited by the close", "HTTP/1.1 200 OK\r\n\r\nhello", true, AttemptOutcome::kUnknown},
+        {"closed without a response", "", true, AttemptOutcome::kUnknown},
+        {"not HTTP", "hello\r\n\r\n", true, AttemptOutcome::kUnknown},
         {"too large", "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n", false, AttemptOutcome::kUnknown},
     };
     for (const auto& entry : cases) {
-        tests::RawServer server(loop, entry.response, entry.closes);
+        tests::RawServer server(loop, entry.response, entry.close_after_response);
         const auto result = call(server.address());
         BOOST_TEST((result.outcome == entry.expected), entry.name << ": " << result.reason);
         BOOST_TEST(server.requests() == 1, entry.name);
     }
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_may_end_with_its_connection_where_the_options_say_so) {
+BOOST_AUTO_TEST_CASE(a_close_delimited_response_is_complete_if_the_options_allow_it) {
     adapters::ClientOptions options;
     options.accepts_close_delimited = true;
-    options.idle_per_address = 4;
+    options.max_idle_per_address = 4;
     adapters::HttpClient lenient(loop, adapters::HttpLimits{1024, 4096}, options);
     tests::RawServer server(loop, "HTTP/1.1 200 OK\r\n\r\nhello", true);
     std::optional<AttemptResult> result;
     HttpRequest request;
     request.method = "GET";
     request.path = "/";
-    const auto attempt = lenient.send(server.address(), request, 5s, [&](AttemptResult ended) { result = ended; });
+    const auto attempt =
+        lenient.send(server.address(), request, 5s, [&](AttemptResult received) { result = received; });
     runUntil([&] { return result.has_value(); });
     BOOST_TEST((result->outcome == AttemptOutcome::kResponded));
     BOOST_TEST(result->response.body == "hello");
 }
 
-BOOST_AUTO_TEST_CASE(bytes_behind_an_answer_spoil_the_connection) {
-    tests::RawServer server(loop, kWhole + kWhole, false);
+BOOST_AUTO_TEST_CASE(bytes_after_a_response_prevent_reuse_of_the_connection) {
+    tests::RawServer server(loop, kComplete + kComplete, false);
     BOOST_TEST((call(server.address()).outcome == AttemptOutcome::kResponded));
-    server.setAnswer(kWhole, false);
+    server.setResponse(kComplete, false);
     BOOST_TEST(call(server.address()).response.body == "hello");
     BOOST_TEST(server.connections() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_refused_connection_is_proof_that_nothing_was_sent) {
+BOOST_AUTO_TEST_CASE(a_refused_connection_counts_as_not_sent) {
     std::string address;
-    { address = tests::RawServer(loop, kWhole, false).address(); }
+    { address = tests::RawServer(loop, kComplete, false).address(); }
     BOOST_TEST((call(address).outcome == AttemptOutcome::kNotSent));
     BOOST_TEST((call("no address").outcome == AttemptOutcome::kNotSent));
 }
 
-BOOST_AUTO_TEST_CASE(connections_are_used_again) {
-    tests::RawServer server(loop, kWhole, false);
+BOOST_AUTO_TEST_CASE(connections_are_reused) {
+    tests::RawServer server(loop, kComplete, false);
     for (int count = 0; count < 5; ++count) {
         BOOST_TEST((call(server.address()).outcome == AttemptOutcome::kResponded));
     }
@@ -105,25 +106,25 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_request_on_a_connection_that_is_being_closed_is_not_sent_twice) {
-    tests::RawServer server(loop, kWhole, false);
+    tests::RawServer server(loop, kComplete, false);
     call(server.address());
-    server.setAnswer("", true);
+    server.setResponse("", true);
     const auto result = call(server.address(), 5s, "POST");
     BOOST_TEST((result.outcome == AttemptOutcome::kUnknown));
     runFor(100ms);
     BOOST_TEST(server.requests() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_timeout_is_unknown_and_its_late_answer_reaches_nobody) {
-    tests::RawServer silent(loop, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", false);
-    BOOST_TEST((call(silent.address(), 300ms).outcome == AttemptOutcome::kUnknown));
-    silent.setAnswer(kWhole, false);
-    BOOST_TEST(call(silent.address()).response.body == "hello");
-    BOOST_TEST(silent.connections() == 2);  // The first one was not used again.
+BOOST_AUTO_TEST_CASE(a_timeout_is_unknown_and_its_late_response_is_discarded) {
+    tests::RawServer unresponsive(loop, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", false);
+    BOOST_TEST((call(unresponsive.address(), 300ms).outcome == AttemptOutcome::kUnknown));
+    unresponsive.setResponse(kComplete, false);
+    BOOST_TEST(call(unresponsive.address()).response.body == "hello");
+    BOOST_TEST(unresponsive.connections() == 2);  // The first connection was not reused.
 }
 
 BOOST_AUTO_TEST_CASE(a_cancelled_attempt_never_calls_back) {
-    tests::RawServer server(loop, kWhole, false);
+    tests::RawServer server(loop, kComplete, false);
     HttpRequest request;
     request.method = "GET";
     request.path = "/";
