--- a/apps/ctl/store_access.cc
+++ b/apps/ctl/blocking_client.cc
@@ -1,4 +1,4 @@
-#include "apps/ctl/store_access.h"
+#include "apps/ctl/blocking_client.h"
 
 #include <utility>
 
--- a/apps/ctl/commands.h
+++ b/apps/ctl/commands.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "apps/ctl/store_access.h"
+#include "apps/ctl/blocking_client.h"
 #include "apps/ctl/table_view.h"
 
 namespace dewcrank::ctl {
--- a/apps/ctl/run.cc
+++ b/apps/ctl/run.cc
@@ -7,7 +7,7 @@
 #include "apps/ctl/commands.h"
 #include "apps/ctl/crash_report.h"
 #include "apps/ctl/explain.h"
-#include "apps/ctl/repeat_report.h"
+#include "apps/ctl/retry_report.h"
 #include "src/adapters/socket_address.h"
 
 namespace dewcrank::ctl {
--- a/apps/ctl/run.h
+++ b/apps/ctl/run.h
@@ -2,7 +2,7 @@
 /// dewcrank: the operators' command line, for any platform's store.
 #pragma once
 
-#include "apps/ctl/store_access.h"
+#include "apps/ctl/blocking_client.h"
 
 namespace dewcrank::ctl {
 
--- a/tests/unit/ctl/repeat_report_test.cc
+++ b/tests/unit/ctl/retry_report_test.cc
@@ -1,4 +1,4 @@
-#include "apps/ctl/repeat_report.h"
+#include "apps/ctl/retry_report.h"
 
 #include <boost/test/unit_test.hpp>
 #include <sstream>
