--- a/tests/contract/store_contract_test.cc
+++ b/tests/contract/store_contract_test.cc
@@ -68,8 +68,8 @@
     void putTable(std::uint64_t version) override {
         server.put("config", "main", configOf("0000000" + std::to_string(version)));
     }
-    void setDown(bool is_down) override { server.faults().refuses_with = is_down ? 503 : 0; }
-    void forgetHistory() override { server.faults().forgets = true; }
+    void setDown(bool is_down) override { server.faults().error_status = is_down ? 503 : 0; }
+    void forgetHistory() override { server.faults().expires_history = true; }
     void saveCopy() override { server.saveCopy(); }
     void returnFromCopy() override { server.returnFromCopy(); }
 
@@ -276,10 +276,10 @@
 BOOST_FIXTURE_TEST_CASE(a_write_whose_answer_is_lost_is_unknown, ConfigFixture) {
     putTable(7);
     auto stored = read();
-    server.faults().lost_answers = 1;
+    server.faults().lost_responses = 1;
     stored->table.set_version(8);
     BOOST_TEST((write(stored->table, stored->revision) == TableWrite::kUnknown));
-    server.faults().lost_answers = 0;
+    server.faults().lost_responses = 0;
     BOOST_TEST(read()->table.version() == 8U);
 }
 
--- a/tests/soak/faults.cc
+++ b/tests/soak/faults.cc
@@ -339,11 +339,11 @@
 }
 
 void FaultInjector::refuseStore(std::size_t) {
-    fleet_.store().faults().refuses_with = kHttpServiceUnavailable;
+    fleet_.store().faults().error_status = kHttpServiceUnavailable;
 }
 
 void FaultInjector::throttleStore(std::size_t) {
-    fleet_.store().faults().refuses_with = kHttpTooManyRequests;
+    fleet_.store().faults().error_status = kHttpTooManyRequests;
 }
 
 void FaultInjector::slowStore(std::size_t) {
@@ -351,11 +351,11 @@
 }
 
 void FaultInjector::loseStoreAnswers(std::size_t) {
-    fleet_.store().faults().lost_answers = kLostShare;
+    fleet_.store().faults().lost_responses = kLostShare;
 }
 
 void FaultInjector::forgetHistory(std::size_t) {
-    fleet_.store().faults().forgets = true;
+    fleet_.store().faults().expires_history = true;
 }
 
 void FaultInjector::mendStore(std::size_t) {
--- a/tests/standins/object_store.cc
+++ b/tests/standins/object_store.cc
@@ -66,8 +66,8 @@
         silenced_.push_back(exchange);
         return;
     }
-    if (faults_.refuses_with != 0) {
-        answer(exchange, faults_.refuses_with, {{"Error", "refused"}});
+    if (faults_.error_status != 0) {
+        answer(exchange, faults_.error_status, {{"Error", "refused"}});
         return;
     }
     if (faults_.delay == Duration::zero()) {
@@ -158,7 +158,7 @@
 
 /// The answer to a write that is done.
 void ObjectStore::acknowledge(const Exchange& exchange, const Json& body) {
-    if (random_.unit() < faults_.lost_answers) {
+    if (random_.unit() < faults_.lost_responses) {
         exchange->abort();
         return;
     }
@@ -235,7 +235,7 @@
 
 void ObjectStore::watch(const Target& target, const Exchange& exchange) {
     const auto revision = numberIn(target.query, "Watch");
-    oldest_ = faults_.forgets ? revision_ : oldest_;
+    oldest_ = faults_.expires_history ? revision_ : oldest_;
     if (revision < oldest_ || revision > revision_) {
         answer(exchange, kHttpGone, {{"Error", "that history is gone"}});
         return;
--- a/tests/standins/object_store.h
+++ b/tests/standins/object_store.h
@@ -19,11 +19,11 @@
 
 /// How the store misbehaves. All off: it answers at once.
 struct StoreFaults {
-    int refuses_with = 0;     ///< Status of each answer; nothing is done. 0: it serves.
-    bool is_silent = false;   ///< Requests are taken and never answered.
-    Duration delay{};         ///< Before each answer.
-    double lost_answers = 0;  ///< Share of the writes that are done and whose connection then closes.
-    bool forgets = false;     ///< Watches and reads of history are told that it is gone.
+    int error_status = 0;          ///< Status of each answer; nothing is done. 0: it serves.
+    bool is_silent = false;        ///< Requests are taken and never answered.
+    Duration delay{};              ///< Before each answer.
+    double lost_responses = 0;     ///< Share of the writes that are done and whose connection then closes.
+    bool expires_history = false;  ///< Watches and reads of history are told that it is gone.
 };
 
 /// Keeps objects by kind and name, with one counter of revisions. Loses nothing it has acknowledged.
--- a/tests/standins/store_main.cc
+++ b/tests/standins/store_main.cc
@@ -18,8 +18,8 @@
     adapters::EventLoop loop;
     adapters::SeededRandom random(1);
     standins::ObjectStore store(loop, random);
-    store.faults().lost_answers = given["lost-answers"].as<double>();
-    store.faults().refuses_with = given["refuses-with"].as<int>();
+    store.faults().lost_responses = given["lost-answers"].as<double>();
+    store.faults().error_status = given["refuses-with"].as<int>();
     if (given.count("config") > 0) {
         std::ifstream file(given["config"].as<std::string>());
         store.put(platform::kConfigKind, platform::kConfigName, nlohmann::json::parse(file));
