--- a/apps/sidecar/sidecar_daemon.cc
+++ b/apps/sidecar/sidecar_daemon.cc
@@ -85,7 +85,7 @@
         result.seeds.push_back(seed.text());
     }
     result.header_names = platform_.header_names;
-    result.knobs.relay.repeats = settings_.retry_limit;
+    result.knobs.relay.retry_limit = settings_.retry_limit;
     result.knobs.table_lease.revocation = settings_.key_revocation;
     result.knobs.max_stop_time = settings_.stop_grace - kStopMargin;
     return result;
--- a/sim/sidecar_fleet.cc
+++ b/sim/sidecar_fleet.cc
@@ -190,7 +190,7 @@
     for (std::size_t seed = 0; seed < std::min(seeds_, machines_.size()); ++seed) {
         settings.seeds.push_back(machines_[seed]->node_address);
     }
-    settings.knobs.relay.repeats = kRepeats;
+    settings.knobs.relay.retry_limit = kRepeats;
     settings.knobs.disabled = disabled_;
     settings.knobs.relay.disabled = disabled_;
     settings.knobs.gossip.disabled = disabled_;
--- a/src/policy/route_table.cc
+++ b/src/policy/route_table.cc
@@ -84,7 +84,7 @@
     return isStale();
 }
 
-std::size_t TrafficSplitter::next(const wire::Route& route) {
+std::size_t WeightedSplitter::next(const wire::Route& route) {
     position_ = std::fmod(position_ + kGoldenFraction, 1.0);
     const auto total = std::accumulate(route.parts().begin(), route.parts().end(), 0.0,
                                        [](double sum, const auto& part) { return sum + part.weight(); });
--- a/src/policy/route_table.h
+++ b/src/policy/route_table.h
@@ -73,10 +73,10 @@
 
 /// Splits the requests of a route among its parts by weight. Uses a low-discrepancy (golden ratio) sequence, so that
 /// the weights hold closely over few requests too.
-class TrafficSplitter {
+class WeightedSplitter {
 public:
     /// @param start   random in [0, 1), so that nodes do not choose in lockstep.
-    explicit TrafficSplitter(double start) : position_(start) {}
+    explicit WeightedSplitter(double start) : position_(start) {}
     /// @return index of the part that the next request is sent to.
     std::size_t next(const wire::Route& route);
 
--- a/src/policy/table_columns.cc
+++ b/src/policy/table_columns.cc
@@ -42,7 +42,7 @@
             }};
 }
 
-bool isPathPrefix(const std::string& text) {
+bool isValidPrefix(const std::string& text) {
     return !text.empty() && text.front() == '/' && text.back() == '/';
 }
 
@@ -157,7 +157,7 @@
          [](const Route& it) { return it.prefix(); },
          [](Route* it, const std::string& value) {
              it->set_prefix(value);
-             return isPathPrefix(value);
+             return isValidPrefix(value);
          }},
         {"services", "a service, or services with weights: 'desk:90 browse:10'", "services that handle the requests",
          formatParts, parseParts},
--- a/src/relay/relay_service.cc
+++ b/src/relay/relay_service.cc
@@ -26,7 +26,7 @@
       route_detector_(clock, std::move(host_share)),
       demand_(knobs.demand),
       call_graph_(knobs.call_graph),
-      retries_(clock, call_graph_, knobs.repeats) {
+      retries_(clock, call_graph_, knobs.retry_limit) {
     instance_.signalChanged().connect([this] { onInstanceChanged(); });
     crash_detector_.signalDecided().connect([this](bool has_crashed) { onCrashDecided(has_crashed); });
 }
--- a/src/relay/relay_service.h
+++ b/src/relay/relay_service.h
@@ -37,7 +37,7 @@
 /// Constants of a relay.
 struct RelayKnobs {
     QueueKnobs queue;
-    decision::RetryLimit repeats;      ///< Limit of the retries of the service.
+    decision::RetryLimit retry_limit;  ///< Limit of the retries of the service.
     Duration min_remaining = 5ms;      ///< A request with less time than this before its deadline is not sent.
     double internal_wait_ratio = 0.6;  ///< Part of its remaining time for which an internal call may wait.
     Duration priority_step = 100ms;  ///< Added to the virtual deadline for each step of priority below the most urgent.
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -86,7 +86,7 @@
       quota_(ports.clock, ports.random, ports.log, ports.nodes, directory_, table_, shard_keeper_,
              settings_.knobs.quota_client),
       intake_({ports.clock, table_, lease_, quota_, settings_.header_names, settings_.knobs.access}),
-      load_logger_(ports.clock, ports.log, settings_.service, relay_, bottlenecks_, settings_.knobs.relay.repeats) {
+      load_logger_(ports.clock, ports.log, settings_.service, relay_, bottlenecks_, settings_.knobs.relay.retry_limit) {
     instance_.signalChanged().connect([this] { publishSelf(); });
     relay_.signalCrashed().connect(
         [this](const quarantine::CrashNotice& notice) { quarantine_exchange_.broadcast(notice); });
--- a/tests/unit/policy/route_table_test.cc
+++ b/tests/unit/policy/route_table_test.cc
@@ -74,7 +74,7 @@
         part->set_weight(static_cast<std::uint32_t>(weight));
     }
     for (const double start : {0.0, 0.3, 0.77}) {
-        policy::TrafficSplitter splitter(start);
+        policy::WeightedSplitter splitter(start);
         std::map<std::string, int> counts;
         constexpr int kRequests = 300;
         for (int count = 0; count < kRequests; ++count) {
