--- a/sim/control_store.cc
+++ b/sim/control_store.cc
@@ -19,7 +19,7 @@
     state_.table_revision = ++state_.revision;
 }
 
-void ControlStoreModel::returnFromCopy(Duration age, Duration rewrite) {
+void ControlStoreModel::restoreFromBackup(Duration age, Duration rewrite) {
     const auto era = state_.era + 1;
     keepCopy();
     state_ = State(stateAt(queue_.now() - age));
--- a/sim/control_store.h
+++ b/sim/control_store.h
@@ -23,7 +23,7 @@
     void putTable(wire::RouteTable table);
     /// The store comes back from a copy of that age: what nodes wrote since is gone, and revisions go back. The
     /// operator writes the newest table again after `rewrite`.
-    void returnFromCopy(Duration age, Duration rewrite);
+    void restoreFromBackup(Duration age, Duration rewrite);
     [[nodiscard]] std::uint64_t era() const { return state_.era; }
     void setDown(bool is_down) { is_down_ = is_down; }
     /// A host that the store turns away while it serves the others.
@@ -33,7 +33,7 @@
     /// Of each answer; the store may be slow.
     void setAnswerTime(Duration time) { answer_time_ = time; }
     /// Forgets what came before: watches from earlier revisions have to read anew.
-    void forgetHistory() { oldest_ = state_.revision; }
+    void compactHistory() { oldest_ = state_.revision; }
     /// Of stale lists: they show the nodes as they were so long ago.
     void setStaleness(Duration age) { staleness_ = age; }
     /// All but stale lists.
--- a/tests/contract/store_contract_test.cc
+++ b/tests/contract/store_contract_test.cc
@@ -45,10 +45,10 @@
     virtual void runUntil(const std::function<bool()>& done) = 0;
     virtual void putTable(std::uint64_t version) = 0;
     virtual void setDown(bool is_down) = 0;
-    virtual void forgetHistory() = 0;
+    virtual void compactHistory() = 0;
     /// The store loses all that was written since `saveCopy`.
     virtual void saveCopy() = 0;
-    virtual void returnFromCopy() = 0;
+    virtual void restoreFromBackup() = 0;
 };
 
 class PlatformStore : public StoreUnderTest, public tests::LoopFixture {
@@ -69,9 +69,9 @@
         server.put("config", "main", configOf("0000000" + std::to_string(version)));
     }
     void setDown(bool is_down) override { server.faults().refuses_with = is_down ? 503 : 0; }
-    void forgetHistory() override { server.faults().forgets = true; }
+    void compactHistory() override { server.faults().forgets = true; }
     void saveCopy() override { server.saveCopy(); }
-    void returnFromCopy() override { server.returnFromCopy(); }
+    void restoreFromBackup() override { server.restoreFromBackup(); }
 
     adapters::SeededRandom random{1};
     adapters::HttpClient http{loop, adapters::HttpLimits{}};
@@ -98,13 +98,13 @@
         model_.putTable(table);
     }
     void setDown(bool is_down) override { model_.setDown(is_down); }
-    void forgetHistory() override { model_.forgetHistory(); }
+    void compactHistory() override { model_.compactHistory(); }
     void saveCopy() override {
         queue_.runUntil(queue_.now() + 1ms);
         saved_ = queue_.now();
         queue_.runUntil(queue_.now() + 1ms);
     }
-    void returnFromCopy() override { model_.returnFromCopy(queue_.now() - saved_, 60s); }
+    void restoreFromBackup() override { model_.restoreFromBackup(queue_.now() - saved_, 60s); }
 
 private:
     sim::EventQueue queue_;
@@ -162,7 +162,7 @@
         it.putTable(1);
         const auto revision = readTable(it)->revision;
         it.putTable(2);
-        it.forgetHistory();
+        it.compactHistory();
         const auto read = watchTable(it, revision, [] {});
         BOOST_REQUIRE(read.has_value());
         BOOST_TEST(read->revision == 0U);
@@ -223,7 +223,7 @@
         it.putTable(2);
         const auto lost = readTable(it);
         BOOST_TEST(lost->revision > before->revision);
-        it.returnFromCopy();
+        it.restoreFromBackup();
         const auto read = readTable(it);
         BOOST_REQUIRE(read.has_value());
         BOOST_TEST(it.store().era() == era + 1);
@@ -289,7 +289,7 @@
     server.saveCopy();
     putTable(8);
     auto stored = read();
-    server.returnFromCopy();
+    server.restoreFromBackup();
     putTable(9);
     stored->table.set_version(10);
     BOOST_TEST((write(stored->table, stored->revision) == TableWrite::kConflict));
--- a/tests/simulation/sidecar_test.cc
+++ b/tests/simulation/sidecar_test.cc
@@ -205,7 +205,7 @@
          for (int change = 0; change < 8; ++change) {
              fleet.after(2s + change * 300ms, [&fleet, change] {
                  fleet.putTable(change % 2 == 0 ? "desk" : "browse", "desk", "leaf");
-                 fleet.store().forgetHistory();
+                 fleet.store().compactHistory();
              });
          }
      }},
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -156,7 +156,7 @@
     for (const auto count : kSizes) {
         Started it(count);
         it.fleet.putTable("leaf", "leaf", "leaf");
-        it.fleet.store().forgetHistory();
+        it.fleet.store().compactHistory();
         it.fleet.runFor(30s);
         BOOST_TEST_CONTEXT("nodes " << count << ", calls " << it.calls()) {
             BOOST_TEST(nodesInForce(it.fleet) == count);
--- a/tests/simulation/store_returns_test.cc
+++ b/tests/simulation/store_returns_test.cc
@@ -46,7 +46,7 @@
         fleet.runFor(300ms);
     }
     for (int round = 0; round < times; ++round) {
-        fleet.store().returnFromCopy(age, 200ms);
+        fleet.store().restoreFromBackup(age, 200ms);
         fleet.runFor(400ms);
     }
     change(fleet);
@@ -78,7 +78,7 @@
     cut(true);
     fleet.runFor(11s);
     cut(false);
-    fleet.store().returnFromCopy(age, 200ms);
+    fleet.store().restoreFromBackup(age, 200ms);
     std::size_t found = 0;
     for (int look = 0; look < 1000; ++look) {
         fleet.runFor(20ms);
@@ -123,7 +123,7 @@
         change(fleet);
         fleet.runFor(2s);
         const auto newest = fleet.store().table().version();
-        fleet.store().returnFromCopy(3s, 5s);
+        fleet.store().restoreFromBackup(3s, 5s);
         fleet.killNode(0);
         fleet.startNode(0);
         for (int look = 0; look < 40; ++look) {
@@ -148,7 +148,7 @@
             fleet.runFor(1s);
             change(fleet);
             fleet.runFor(9s);
-            fleet.store().returnFromCopy(10s, 200ms);
+            fleet.store().restoreFromBackup(10s, 200ms);
             fleet.runFor(8s);
             const auto calls = fleet.store().calls();
             sim::InstanceOptions options;
--- a/tests/simulation/tenants_test.cc
+++ b/tests/simulation/tenants_test.cc
@@ -134,11 +134,11 @@
          }
      }},
     {"the store back from a copy of 3 s, a key revoked just before",
-     [](sim::SidecarFleet& fleet) { fleet.after(5200ms, [&fleet] { fleet.store().returnFromCopy(3s, 1s); }); }},
+     [](sim::SidecarFleet& fleet) { fleet.after(5200ms, [&fleet] { fleet.store().restoreFromBackup(3s, 1s); }); }},
     {"the store back from copies twice in a row while nodes are killed in turn",
      [](sim::SidecarFleet& fleet) {
          for (const Duration at : {5200ms, 6100ms, 14000ms}) {
-             fleet.after(at, [&fleet] { fleet.store().returnFromCopy(2500ms, 700ms); });
+             fleet.after(at, [&fleet] { fleet.store().restoreFromBackup(2500ms, 700ms); });
          }
          everyMachine(fleet, [&](std::size_t it) {
              fleet.after(2s + 900ms * static_cast<int>(it), [&fleet, it] { fleet.killNode(it); });
@@ -148,12 +148,12 @@
     {"a zone cut off from all, and the store back from a copy from before",
      [](sim::SidecarFleet& fleet) {
          cutZone(fleet, 4s, 15s, true);
-         fleet.after(15s, [&fleet] { fleet.store().returnFromCopy(12s, 1s); });
+         fleet.after(15s, [&fleet] { fleet.store().restoreFromBackup(12s, 1s); });
      }},
     {"the store away, and back from a copy of 10 s",
      [](sim::SidecarFleet& fleet) {
          storeDown(fleet, 8s, 9s);
-         fleet.after(9s, [&fleet] { fleet.store().returnFromCopy(10s, 500ms); });
+         fleet.after(9s, [&fleet] { fleet.store().restoreFromBackup(10s, 500ms); });
      }},
     {"limits that go down and up",
      [](sim::SidecarFleet& fleet) {
--- a/tests/standins/object_store.cc
+++ b/tests/standins/object_store.cc
@@ -185,7 +185,7 @@
 }
 
 /// Watches that wait are cut.
-void ObjectStore::returnFromCopy() {
+void ObjectStore::restoreFromBackup() {
     ++era_;
     revision_ = copy_.revision;
     objects_ = copy_.objects;
--- a/tests/standins/object_store.h
+++ b/tests/standins/object_store.h
@@ -37,7 +37,7 @@
     /// What is held now can be come back to.
     void saveCopy();
     /// The copy takes the place of all that is held: what was written since is gone, and revisions are given out again.
-    void returnFromCopy();
+    void restoreFromBackup();
     /// `Spec` of an object; null if there is none.
     [[nodiscard]] nlohmann::json get(const std::string& kind, const std::string& name) const;
     StoreFaults& faults() { return faults_; }
