--- a/tests/simulation/tenants_test.cc
+++ b/tests/simulation/tenants_test.cc
@@ -1,5 +1,4 @@
-/// Callers with keys in a simulated fleet, under faults: who may call, what a revoked key still runs, and quotas over
-/// all machines in each sliding window, judged from what the instances have seen.
+/// Access by API keys, revocation, and quotas over all machines in a simulated fleet under faults.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -28,22 +27,22 @@
     return tenant;
 }
 
-/// Within its limit; at a few requests a second over all nodes; far beyond its limit; without one; and another whose
-/// second key is taken away.
+/// By name: "large" stays within its limit; "small" has a limit of few requests per second; "hot" exceeds its limit;
+/// "free" has none; "rotating" has its second key revoked.
 std::vector<wire::Tenant> tenants() {
     return {tenantOf("large", 80, 80), tenantOf("small", 4, 4), tenantOf("hot", 20, 20), tenantOf("free", 0, 0),
             tenantOf("rotating", 0, 0, 2)};
 }
 
-std::vector<sim::FleetService> services(std::size_t machines) {
+std::vector<sim::FleetService> fleetServices(std::size_t machines) {
     sim::InstanceOptions browse;
     browse.service = "browse";
-    browse.work = 30ms;
+    browse.work_time = 30ms;
     browse.slots = 40;
-    browse.inner_host = "inner.example";
+    browse.internal_host = "inner.example";
     sim::InstanceOptions leaf;
     leaf.service = "leaf";
-    leaf.work = 15ms;
+    leaf.work_time = 15ms;
     leaf.slots = 20;
     return {{browse, machines / 2}, {leaf, machines - machines / 2}};
 }
@@ -54,25 +53,25 @@
     });
 }
 
-void storeDown(sim::SidecarFleet& fleet, Duration from, Duration to) {
+void takeStoreDown(sim::SidecarFleet& fleet, Duration from, Duration to) {
     fleet.after(from, [&fleet] { fleet.store().setDown(true); });
     fleet.after(to, [&fleet] { fleet.store().setDown(false); });
 }
 
-void everyMachine(sim::SidecarFleet& fleet, const std::function<void(std::size_t)>& act) {
+void forEachMachine(sim::SidecarFleet& fleet, const std::function<void(std::size_t)>& action) {
     for (std::size_t machine = 0; machine < fleet.machineCount(); ++machine) {
-        act(machine);
+        action(machine);
     }
 }
 
-void cutZone(sim::SidecarFleet& fleet, Duration from, Duration to, bool from_store_too) {
-    const auto cut = [&fleet, from_store_too](bool is_cut) {
+void cutZone(sim::SidecarFleet& fleet, Duration from, Duration to, bool cut_store) {
+    const auto cut = [&fleet, cut_store](bool is_cut) {
         for (const char* other : {"zone1", "zone2"}) {
             fleet.network().setCut("zone0", other, is_cut);
             fleet.network().setCut(other, "zone0", is_cut);
         }
-        for (std::size_t machine = 0; from_store_too && machine < fleet.machineCount(); machine += 3) {
-            fleet.store().setTurnedAway(fleet.machineClock(machine), is_cut);
+        for (std::size_t machine = 0; cut_store && machine < fleet.machineCount(); machine += 3) {
+            fleet.store().setRejected(fleet.host(machine), is_cut);
         }
     };
     fleet.after(from, [cut] { cut(true); });
@@ -83,19 +82,19 @@
 
 const std::map<std::string, Fault> kFaults = {
     {"none", [](sim::SidecarFleet&) {}},
-    {"the store away for 4.5 s", [](sim::SidecarFleet& fleet) { storeDown(fleet, 6s, 10500ms); }},
+    {"the store away for 4.5 s", [](sim::SidecarFleet& fleet) { takeStoreDown(fleet, 6s, 10500ms); }},
     {"the store away for 9 s, a key revoked just before",
-     [](sim::SidecarFleet& fleet) { storeDown(fleet, 5010ms, 14s); }},
+     [](sim::SidecarFleet& fleet) { takeStoreDown(fleet, 5010ms, 14s); }},
     {"the store sixty times slower",
      [](sim::SidecarFleet& fleet) {
-         fleet.after(4s, [&fleet] { fleet.store().setAnswerTime(240ms); });
-         fleet.after(12s, [&fleet] { fleet.store().setAnswerTime(4ms); });
+         fleet.after(4s, [&fleet] { fleet.store().setResponseTime(240ms); });
+         fleet.after(12s, [&fleet] { fleet.store().setResponseTime(4ms); });
      }},
     {"a third of the nodes turned away by the store",
      [](sim::SidecarFleet& fleet) {
          for (std::size_t machine = 0; machine < fleet.machineCount(); machine += 3) {
-             fleet.after(2s, [&fleet, machine] { fleet.store().setTurnedAway(fleet.machineClock(machine), true); });
-             fleet.after(14s, [&fleet, machine] { fleet.store().setTurnedAway(fleet.machineClock(machine), false); });
+             fleet.after(2s, [&fleet, machine] { fleet.store().setRejected(fleet.host(machine), true); });
+             fleet.after(14s, [&fleet, machine] { fleet.store().setRejected(fleet.host(machine), false); });
          }
      }},
     {"a zone cut off from the others, not from the store",
@@ -103,12 +102,12 @@
     {"a zone cut off from all", [](sim::SidecarFleet& fleet) { cutZone(fleet, 4s, 16s, true); }},
     {"all nodes killed at once",
      [](sim::SidecarFleet& fleet) {
-         fleet.after(7s, [&fleet] { everyMachine(fleet, [&](std::size_t it) { fleet.killNode(it); }); });
-         fleet.after(8s, [&fleet] { everyMachine(fleet, [&](std::size_t it) { fleet.startNode(it); }); });
+         fleet.after(7s, [&fleet] { forEachMachine(fleet, [&](std::size_t it) { fleet.killNode(it); }); });
+         fleet.after(8s, [&fleet] { forEachMachine(fleet, [&](std::size_t it) { fleet.startNode(it); }); });
      }},
     {"nodes restart while the store is away",
      [](sim::SidecarFleet& fleet) {
-         storeDown(fleet, 4s, 13s);
+         takeStoreDown(fleet, 4s, 13s);
          for (const std::size_t machine : {1U, 4U, 7U}) {
              fleet.after(6s, [&fleet, machine] { fleet.killNode(machine); });
              fleet.after(7s, [&fleet, machine] { fleet.startNode(machine); });
@@ -116,13 +115,13 @@
      }},
     {"nodes stopped in turn",
      [](sim::SidecarFleet& fleet) {
-         everyMachine(fleet, [&](std::size_t it) {
-             fleet.after(1s + 1s * static_cast<int>(it), [&fleet, it] { fleet.cycleNode(it); });
+         forEachMachine(fleet, [&](std::size_t it) {
+             fleet.after(1s + 1s * static_cast<int>(it), [&fleet, it] { fleet.restartNode(it); });
          });
      }},
     {"nodes killed in turn",
      [](sim::SidecarFleet& fleet) {
-         everyMachine(fleet, [&](std::size_t it) {
+         forEachMachine(fleet, [&](std::size_t it) {
              fleet.after(1s + 800ms * static_cast<int>(it), [&fleet, it] { fleet.killNode(it); });
              fleet.after(2s + 800ms * static_cast<int>(it), [&fleet, it] { fleet.startNode(it); });
          });
@@ -140,7 +139,7 @@
          for (const Duration at : {5200ms, 6100ms, 14000ms}) {
              fleet.after(at, [&fleet] { fleet.store().restoreFromBackup(2500ms, 700ms); });
          }
-         everyMachine(fleet, [&](std::size_t it) {
+         forEachMachine(fleet, [&](std::size_t it) {
              fleet.after(2s + 900ms * static_cast<int>(it), [&fleet, it] { fleet.killNode(it); });
              fleet.after(3s + 900ms * static_cast<int>(it), [&fleet, it] { fleet.startNode(it); });
          });
@@ -152,7 +151,7 @@
      }},
     {"the store away, and back from a copy of 10 s",
      [](sim::SidecarFleet& fleet) {
-         storeDown(fleet, 8s, 9s);
+         takeStoreDown(fleet, 8s, 9s);
          fleet.after(9s, [&fleet] { fleet.store().restoreFromBackup(10s, 500ms); });
      }},
     {"limits that go down and up",
@@ -168,36 +167,37 @@
      }},
 };
 
-/// How many of the requests that show a key were answered with a status.
-std::size_t answeredWith(const sim::SidecarFleet& fleet, const std::string& key, int status) {
+/// @return the number of requests with a key whose response had a status.
+std::size_t countResponses(const sim::SidecarFleet& fleet, const std::string& key, int status) {
     return static_cast<std::size_t>(
         std::count_if(fleet.requests().begin(), fleet.requests().end(),
                       [&](const auto& it) { return it->key == key && it->status == status; }));
 }
 
-/// Of those requests that one bucket with the tenant's rate and burst, before all machines, would let through.
+/// @return the share of successful requests among those that a single token bucket with the tenant's rate and burst
+/// would admit.
 double servedShare(const sim::SidecarFleet& fleet, const wire::Tenant& tenant) {
-    double level = tenant.burst();
+    double tokens = tenant.burst();
     TimePoint filled{};
-    double within = 0;
+    double within_limit = 0;
     double served = 0;
     for (const auto& it : fleet.requests()) {
         if (it->key != tenant.keys(0)) {
             continue;
         }
-        level = std::min(tenant.burst(), level + tenant.rate_per_s() * toSeconds(it->sent - filled));
+        tokens = std::min(tenant.burst(), tokens + tenant.rate_per_s() * toSeconds(it->sent - filled));
         filled = it->sent;
-        if (level < 1 && tenant.rate_per_s() > 0) {
+        if (tokens < 1 && tenant.rate_per_s() > 0) {
             continue;
         }
-        level -= 1;
-        within += 1;
+        tokens -= 1;
+        within_limit += 1;
         served += it->status == kHttpOk ? 1 : 0;
     }
-    return served / std::max(1.0, within);
+    return served / std::max(1.0, within_limit);
 }
 
-void runUnder(sim::SidecarFleet& fleet, const Fault& fault) {
+void runWithFault(sim::SidecarFleet& fleet, const Fault& fault) {
     fleet.putTable("browse", "browse", "leaf");
     fleet.runFor(4s);
     const auto end = fleet.queue().now() + kLoadTime;
@@ -213,22 +213,22 @@
     fleet.runFor(kLoadTime + 4s);
 }
 
-std::map<std::string, std::string> breachesOf(const sim::SidecarFleet& fleet) {
+std::map<std::string, std::string> violationsOf(const sim::SidecarFleet& fleet) {
     std::map<std::string, std::string> found;
-    for (const auto& breach : fleet.breaches()) {
-        found[breach.promise] = breach.detail;
+    for (const auto& violation : fleet.violations()) {
+        found[violation.invariant] = violation.detail;
     }
     return found;
 }
 
-/// A mechanism that is switched off, and the promise that must be seen broken under a fault.
-struct Weakened {
+/// A mechanism to disable, and the invariant that is violated without it under a fault.
+struct DisabledCase {
     const char* fault;
     bool Weakening::*mechanism;
-    const char* promise;
+    const char* invariant;
 };
 
-const Weakened kWeakened[] = {
+const DisabledCase kDisabledCases[] = {
     {"a zone cut off from all", &Weakening::ignores_table_age, "revoked keys run nothing"},
     {"none", &Weakening::hands_on_keys, "keys stay at the entry"},
     {"none", &Weakening::hands_on_keys, "runs name their caller's tenant"},
@@ -239,80 +239,80 @@
 
 BOOST_AUTO_TEST_SUITE(simulation_tenants)
 
-BOOST_AUTO_TEST_CASE(no_promise_on_keys_and_quotas_breaks_under_faults) {
+BOOST_AUTO_TEST_CASE(no_invariant_of_keys_and_quotas_is_violated_under_faults) {
     for (const auto& [name, fault] : kFaults) {
         for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-            sim::SidecarFleet fleet(seed, services(12), {}, tenants());
-            runUnder(fleet, fault);
-            for (const auto& [promise, detail] : breachesOf(fleet)) {
-                BOOST_ERROR(name << ", seed " << seed << ": " << promise << ", such as " << detail);
+            sim::SidecarFleet fleet(seed, fleetServices(12), {}, tenants());
+            runWithFault(fleet, fault);
+            for (const auto& [invariant, detail] : violationsOf(fleet)) {
+                BOOST_ERROR(name << ", seed " << seed << ": " << invariant << ", such as " << detail);
             }
-            BOOST_TEST(answeredWith(fleet, "no-key-at-all", kHttpOk) == 0U, name);
+            BOOST_TEST(countResponses(fleet, "no-key-at-all", kHttpOk) == 0U, name);
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(each_promise_on_keys_and_quotas_breaks_without_its_mechanism) {
-    for (const auto& row : kWeakened) {
-        Weakening weakening;
-        weakening.*row.mechanism = true;
-        sim::SidecarFleet fleet(1, services(12), weakening, tenants());
-        runUnder(fleet, kFaults.at(row.fault));
-        BOOST_TEST(breachesOf(fleet).contains(row.promise), row.promise);
+BOOST_AUTO_TEST_CASE(each_invariant_of_keys_and_quotas_is_violated_without_its_mechanism) {
+    for (const auto& row : kDisabledCases) {
+        Weakening disabled;
+        disabled.*row.mechanism = true;
+        sim::SidecarFleet fleet(1, fleetServices(12), disabled, tenants());
+        runWithFault(fleet, kFaults.at(row.fault));
+        BOOST_TEST(violationsOf(fleet).contains(row.invariant), row.invariant);
     }
 }
 
-/// What is within its limit is served, however small its tenant is; what is beyond it is not owed.
+/// Requests within the limit of their tenant succeed, however low the limit is.
 BOOST_AUTO_TEST_CASE(tenants_within_their_limits_are_served) {
     for (const std::size_t machines : {20U, 80U}) {
-        sim::SidecarFleet fleet(1, services(machines), {}, tenants());
-        runUnder(fleet, kFaults.at("none"));
-        BOOST_TEST(breachesOf(fleet).empty());
+        sim::SidecarFleet fleet(1, fleetServices(machines), {}, tenants());
+        runWithFault(fleet, kFaults.at("none"));
+        BOOST_TEST(violationsOf(fleet).empty());
         for (const auto& tenant : tenants()) {
             const auto share = servedShare(fleet, tenant);
             BOOST_TEST((share > 0.98 || tenant.name() == "hot"), tenant.name() << " at " << machines << ": " << share);
         }
-        const auto hot = static_cast<double>(answeredWith(fleet, "key-of-hot-0", kHttpOk)) / toSeconds(kLoadTime);
+        const auto hot = static_cast<double>(countResponses(fleet, "key-of-hot-0", kHttpOk)) / toSeconds(kLoadTime);
         BOOST_TEST(hot > 0.93 * 20, hot << " a second, of a limit of 20");
-        BOOST_TEST(answeredWith(fleet, "key-of-rotating-1", kHttpUnauthorized) > 200U);
+        BOOST_TEST(countResponses(fleet, "key-of-rotating-1", kHttpUnauthorized) > 200U);
     }
 }
 
-/// While a way to the store stands, direct or through peers, no proper request is refused for an old table; nor in the
-/// first three seconds in which the store is away for all.
-BOOST_AUTO_TEST_CASE(nodes_that_the_store_turns_away_go_by_their_peers) {
+/// No request is rejected for an outdated table while the node reaches the store directly or through peers, nor in the
+/// first three seconds in which the store is down for all.
+BOOST_AUTO_TEST_CASE(nodes_that_the_store_rejects_use_their_peers) {
     const struct {
         const char* fault;
-        Duration excused_from;  ///< From the begin of the load on.
+        Duration counted_for;  ///< Rejections count for this time from the start of the load.
     } cases[] = {{"a third of the nodes turned away by the store", kLoadTime},
                  {"the store sixty times slower", kLoadTime},
                  {"the store away for 4.5 s", 9s}};
     for (const auto& entry : cases) {
-        sim::SidecarFleet fleet(2, services(20), {}, tenants());
-        const auto excused = fleet.queue().now() + 4s + entry.excused_from;
-        runUnder(fleet, kFaults.at(entry.fault));
-        const auto refused = std::count_if(fleet.requests().begin(), fleet.requests().end(), [&](const auto& it) {
-            return it->body == "table-too-old\n" && it->sent < excused;
+        sim::SidecarFleet fleet(2, fleetServices(20), {}, tenants());
+        const auto counted_until = fleet.queue().now() + 4s + entry.counted_for;
+        runWithFault(fleet, kFaults.at(entry.fault));
+        const auto rejected = std::count_if(fleet.requests().begin(), fleet.requests().end(), [&](const auto& it) {
+            return it->body == "table-too-old\n" && it->sent < counted_until;
         });
-        BOOST_TEST(refused <= 2, entry.fault << ": " << refused);
+        BOOST_TEST(rejected <= 2, entry.fault << ": " << rejected);
     }
 }
 
-/// Few nodes read for all: calls to the store do not follow the number of nodes.
+/// The number of calls to the store does not grow with the number of nodes.
 BOOST_AUTO_TEST_CASE(few_nodes_read_the_table_for_all) {
     for (const std::size_t machines : {20U, 80U}) {
-        sim::SidecarFleet fleet(1, services(machines), {}, tenants());
-        runUnder(fleet, kFaults.at("none"));
-        const auto a_node = static_cast<double>(fleet.store().calls()) / static_cast<double>(machines);
-        BOOST_TEST(a_node < 12, machines << " nodes: " << a_node << " calls each in 32 s");
+        sim::SidecarFleet fleet(1, fleetServices(machines), {}, tenants());
+        runWithFault(fleet, kFaults.at("none"));
+        const auto calls_per_node = static_cast<double>(fleet.store().calls()) / static_cast<double>(machines);
+        BOOST_TEST(calls_per_node < 12, machines << " nodes: " << calls_per_node << " calls each in 32 s");
     }
 }
 
 BOOST_AUTO_TEST_CASE(quotas_hold_over_300_nodes) {
-    sim::SidecarFleet fleet(1, services(300), {}, tenants());
-    runUnder(fleet, kFaults.at("a zone cut off from all"));
-    for (const auto& [promise, detail] : breachesOf(fleet)) {
-        BOOST_ERROR(promise << ", such as " << detail);
+    sim::SidecarFleet fleet(1, fleetServices(300), {}, tenants());
+    runWithFault(fleet, kFaults.at("a zone cut off from all"));
+    for (const auto& [invariant, detail] : violationsOf(fleet)) {
+        BOOST_ERROR(invariant << ", such as " << detail);
     }
 }
 
