--- a/sim/network.cc
+++ b/sim/network.cc
@@ -91,18 +91,18 @@
     call->request = std::move(request);
     call->callback = std::move(callback);
     calls_[call->number] = call;
-    const auto onTimeout = [this, call] {
+    const auto on_timeout = [this, call] {
         const bool may_be_sent = call->is_connected || call->used_idle_connection;
         cancel(call);
         finish(call, {may_be_sent ? AttemptOutcome::kUnknown : AttemptOutcome::kNotSent, {}, std::string(kTimedOut)});
     };
-    call->timer = from.startTimer(std::min(timeout, kConnectTimeout), [&from, call, timeout, onTimeout] {
+    call->timer = from.startTimer(std::min(timeout, kConnectTimeout), [&from, call, timeout, on_timeout] {
         const bool may_be_sent = call->is_connected || call->used_idle_connection;
         if (!may_be_sent || timeout <= kConnectTimeout) {
-            onTimeout();
+            on_timeout();
             return;
         }
-        call->timer = from.startTimer(timeout - kConnectTimeout, onTimeout);
+        call->timer = from.startTimer(timeout - kConnectTimeout, on_timeout);
     });
     const auto found = servers_.find(address);
     if (found == servers_.end()) {
--- a/tests/simulation/store_returns_test.cc
+++ b/tests/simulation/store_returns_test.cc
@@ -64,7 +64,7 @@
     tenant.set_burst(80);
     tenant.add_keys("key-of-house");
     sim::SidecarFleet fleet(seed, idleNodes(12), disabled, {tenant});
-    const auto setZoneCut = [&fleet](bool is_cut) {
+    const auto set_zone_cut = [&fleet](bool is_cut) {
         for (const char* other : {"zone1", "zone2"}) {
             fleet.network().setCut("zone0", other, is_cut);
             fleet.network().setCut(other, "zone0", is_cut);
@@ -76,9 +76,9 @@
     fleet.runFor(1s);
     putNextTable(fleet);
     fleet.runFor(12s);
-    setZoneCut(true);
+    set_zone_cut(true);
     fleet.runFor(11s);
-    setZoneCut(false);
+    set_zone_cut(false);
     fleet.store().restoreFromBackup(age, 200ms);
     std::size_t overlaps = 0;
     for (int sample = 0; sample < 1000; ++sample) {
