--- a/sim/network.cc
+++ b/sim/network.cc
@@ -145,20 +145,20 @@
         call->is_delivered = true;
         const auto& current = servers_.at(call->address);
         call->server_number = current.handle(std::move(call->request),
-                                             [this, call](HttpAnswer reply) { respond(call, std::move(reply)); });
+                                             [this, call](HttpAnswer response) { respond(call, std::move(response)); });
     });
 }
 
-void Network::respond(const CallPtr& call, HttpAnswer reply) {
+void Network::respond(const CallPtr& call, HttpAnswer response) {
     call->has_response = true;
     const auto& from = call->server_host->zone();
     const auto& to = call->from->zone();
     if (call->is_finished || isCut(from, to)) {
         return;
     }
-    const bool has_no_response = reply.status == 0;
+    const bool has_no_response = response.status == 0;
     auto result = has_no_response ? AttemptResult{AttemptOutcome::kUnknown, {}, std::string(kConnectionClosed)}
-                                  : AttemptResult{AttemptOutcome::kAnswered, std::move(reply), ""};
+                                  : AttemptResult{AttemptOutcome::kAnswered, std::move(response), ""};
     queue_.schedule(queue_.now() + latency(from, to), call->from, [this, call, from, to, result = std::move(result)] {
         if (call->is_finished || isCut(from, to)) {
             return;
--- a/sim/network.h
+++ b/sim/network.h
@@ -67,7 +67,7 @@
     /// @return the latency of one message, drawn at random.
     [[nodiscard]] Duration latency(const std::string& from, const std::string& to);
     void deliver(const CallPtr& call);
-    void respond(const CallPtr& call, HttpAnswer answer);
+    void respond(const CallPtr& call, HttpAnswer response);
     void finish(const CallPtr& call, AttemptResult result);
     void scheduleFinish(const CallPtr& call, Duration delay, AttemptResult result);
     void cancel(const CallPtr& call);
