--- a/tests/contract/store_contract_test.cc
+++ b/tests/contract/store_contract_test.cc
@@ -46,10 +46,10 @@
     virtual void putTable(std::uint64_t version) = 0;
     virtual void setDown(bool is_down) = 0;
     /// Discards the revisions before the current one, so that older watches cannot continue.
-    virtual void forgetHistory() = 0;
+    virtual void compactHistory() = 0;
     virtual void saveCopy() = 0;
     /// Restores the state at `saveCopy`; later writes are lost.
-    virtual void returnFromCopy() = 0;
+    virtual void restoreFromBackup() = 0;
 };
 
 /// The platform client with the stand-in store, on a real event loop.
@@ -71,9 +71,9 @@
         server.put("config", "main", configOf("0000000" + std::to_string(version)));
     }
     void setDown(bool is_down) override { server.faults().error_status = is_down ? 503 : 0; }
-    void forgetHistory() override { server.faults().expires_history = true; }
+    void compactHistory() override { server.faults().expires_history = true; }
     void saveCopy() override { server.saveCopy(); }
-    void returnFromCopy() override { server.returnFromCopy(); }
+    void restoreFromBackup() override { server.restoreFromBackup(); }
 
     adapters::SeededRandom random{1};
     adapters::HttpClient http{loop, adapters::HttpLimits{}};
@@ -101,13 +101,13 @@
         model_.putTable(table);
     }
     void setDown(bool is_down) override { model_.setDown(is_down); }
-    void forgetHistory() override { model_.forgetHistory(); }
+    void compactHistory() override { model_.compactHistory(); }
     void saveCopy() override {
         queue_.runUntil(queue_.now() + 1ms);
         saved_ = queue_.now();
         queue_.runUntil(queue_.now() + 1ms);
     }
-    void returnFromCopy() override { model_.returnFromCopy(queue_.now() - saved_, 60s); }
+    void restoreFromBackup() override { model_.restoreFromBackup(queue_.now() - saved_, 60s); }
 
 private:
     sim::EventQueue queue_;
@@ -166,7 +166,7 @@
         fixture.putTable(1);
         const auto revision = readTable(fixture)->revision;
         fixture.putTable(2);
-        fixture.forgetHistory();
+        fixture.compactHistory();
         const auto read = watchTable(fixture, revision, [] {});
         BOOST_REQUIRE(read.has_value());
         BOOST_TEST(read->revision == 0U);
@@ -227,7 +227,7 @@
         fixture.putTable(2);
         const auto lost = readTable(fixture);
         BOOST_TEST(lost->revision > before->revision);
-        fixture.returnFromCopy();
+        fixture.restoreFromBackup();
         const auto read = readTable(fixture);
         BOOST_REQUIRE(read.has_value());
         BOOST_TEST(fixture.store().era() == era + 1);
@@ -294,7 +294,7 @@
     server.saveCopy();
     putTable(8);
     auto stored = read();
-    server.returnFromCopy();
+    server.restoreFromBackup();
     putTable(9);
     stored->table.set_version(10);
     BOOST_TEST((write(stored->table, stored->revision) == TableWrite::kConflict));
--- a/tests/standins/object_store.cc
+++ b/tests/standins/object_store.cc
@@ -184,7 +184,7 @@
 }
 
 /// Open watches are aborted.
-void ObjectStore::returnFromCopy() {
+void ObjectStore::restoreFromBackup() {
     ++era_;
     revision_ = copy_.revision;
     objects_ = copy_.objects;
--- a/tests/standins/object_store.h
+++ b/tests/standins/object_store.h
@@ -26,7 +26,7 @@
 };
 
 /// Stores objects by kind and name in memory, with one revision counter for all of them. Acknowledged writes are lost
-/// only by `returnFromCopy`.
+/// only by `restoreFromBackup`.
 class ObjectStore {
 public:
     ObjectStore(adapters::EventLoop& loop, RandomSource& random);
@@ -38,7 +38,7 @@
     /// Saves a backup of all objects, the history and the revision.
     void saveCopy();
     /// Restores the backup: later writes are lost, their revisions are reused, and the era increases.
-    void returnFromCopy();
+    void restoreFromBackup();
     /// @return the `Spec` of an object; null if it does not exist.
     [[nodiscard]] nlohmann::json get(const std::string& kind, const std::string& name) const;
     StoreFaults& faults() { return faults_; }
