--- a/src/decision/admission.cc
+++ b/src/decision/admission.cc
@@ -8,11 +8,11 @@
 /// Arrivals are multiplied by this once per interval: a time constant of two seconds.
 constexpr double kArrivalDecay = 0.95;
 constexpr Duration kDecayInterval = 100ms;
-/// Added to the priority of client retries, so that they rank after all first attempts.
+/// Added to the rank of client retries, so that they rank after all first attempts.
 constexpr std::uint32_t kClientRetryRank = 1000;
 /// Lower bound of the cost of a request, which is 0 while it is unknown.
 constexpr Duration kMinCost = 1ms;
-/// Up to this ratio all priorities are admitted nearly evenly; above it, urgent ones are preferred increasingly.
+/// Up to this ratio all ranks are admitted nearly evenly; above it, urgent ranks are preferred increasingly.
 constexpr double kEvenAdmitRatio = 0.3;
 }  // namespace
 
@@ -26,8 +26,8 @@
     }
 }
 
-/// Share of a rank's requests to admit. Slot time is rejected from the least urgent rank upwards, from each rank down
-/// to its minimum share.
+/// @return the share of a rank's requests to admit. Slot time is rejected from the least urgent rank upwards, from each
+/// rank down to its minimum share.
 double Admission::admitProbability(const Arrivals& arrivals, double admit_ratio, std::uint32_t rank) const {
     double total = 0;
     double non_retry = 0;
@@ -38,7 +38,7 @@
     double to_reject = (1 - admit_ratio) * total;
     // Client retries are rejected first, which leaves a higher ratio to the other requests.
     const double non_retry_ratio = non_retry > 0 ? std::min(1.0, admit_ratio * total / non_retry) : admit_ratio;
-    // A low ratio is shared more evenly, or the least urgent priorities would be left with almost nothing.
+    // A low ratio is shared more evenly, or the least urgent ranks would be left with almost nothing.
     const double even_share = std::min(1 - non_retry_ratio, kEvenAdmitRatio + 1 - 2 * non_retry_ratio);
     const double min_share = non_retry_ratio * std::max(knobs_.min_share, even_share);
     for (auto it = arrivals.slot_time.rbegin(); it != arrivals.slot_time.rend(); ++it) {
@@ -52,15 +52,16 @@
     return 1;
 }
 
-bool Admission::admits(TimePoint now, const Bottleneck& bottleneck, std::uint32_t priority, bool is_client_retry) {
+bool Admission::admits(TimePoint now, const Bottleneck& bottleneck, std::uint32_t rank, bool is_client_retry) {
     if (bottleneck.service.empty()) {
         return true;
     }
     auto& arrivals = arrivals_[bottleneck.service];
     decay(now, &arrivals);
-    const auto rank = priority + (is_client_retry ? kClientRetryRank : 0);
-    arrivals.slot_time[rank] += toSeconds(std::max(bottleneck.cost, kMinCost));
-    return bottleneck.admit_ratio >= 1 || random_.unit() < admitProbability(arrivals, bottleneck.admit_ratio, rank);
+    const auto effective_rank = rank + (is_client_retry ? kClientRetryRank : 0);
+    arrivals.slot_time[effective_rank] += toSeconds(std::max(bottleneck.cost, kMinCost));
+    return bottleneck.admit_ratio >= 1 ||
+           random_.unit() < admitProbability(arrivals, bottleneck.admit_ratio, effective_rank);
 }
 
 }  // namespace dewcrank::decision
--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -1,7 +1,7 @@
 /// @file
-/// Overload admission at the entry: rejects requests before their first hop, by the admission ratio of the
-/// bottleneck service of their route. Like DAGOR (Zhou et al., SoCC 2018), it applies upstream what an overloaded
-/// service reports about its load.
+/// Overload admission at the entry: rejects requests before their first hop, by the admission ratio (share of
+/// requests to admit) of the bottleneck service of their route. Like DAGOR (Zhou et al., SoCC 2018), it applies
+/// upstream what an overloaded service reports about its load.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 /// Constants of the admission.
 struct AdmissionKnobs {
-    double min_share = 0.3;  ///< Of the admission ratio that each priority keeps, so that none starves.
+    double min_share = 0.3;  ///< Share of the admission ratio that each rank of first attempts keeps at least.
 };
 
 /// Admits or rejects each request by its rank and by the admission ratio of its bottleneck service.
@@ -25,11 +25,12 @@
     Admission(RandomSource& random, AdmissionKnobs knobs) : random_(random), knobs_(knobs) {}
 
     /// Counts a request and decides whether it is admitted.
-    /// @param bottleneck        of the request's route; a request without a known bottleneck is admitted.
-    /// @param priority          0 is rejected last.
-    /// @param is_client_retry   rejected before all first attempts, so that retrying gains a client nothing.
+    /// @param bottleneck        bottleneck of the request's route; without a known one the request is admitted.
+    /// @param rank              the request's `policy::rankOf`; 0 is rejected last.
+    /// @param is_client_retry   true: the request is rejected before all first attempts, so that retrying gains a
+    /// client nothing.
     /// @return true if the request is admitted.
-    bool admits(TimePoint now, const Bottleneck& bottleneck, std::uint32_t priority, bool is_client_retry);
+    bool admits(TimePoint now, const Bottleneck& bottleneck, std::uint32_t rank, bool is_client_retry);
 
 private:
     /// Slot time in seconds that arriving requests need at one bottleneck, by rank; decays exponentially.
--- a/src/decision/bottleneck_view.cc
+++ b/src/decision/bottleneck_view.cc
@@ -84,6 +84,8 @@
     return admit_ratio + (1 - admit_ratio) * std::clamp(age - 1, 0.0, 1.0);
 }
 
+/// Uses the loads that the service's relays report to this node, or the ratios that other nodes report if these loads
+/// are outdated.
 double BottleneckView::admitRatioOf(TimePoint now, const std::string& service) const {
     const auto found = services_.find(service);
     if (found == services_.end()) {
--- a/src/decision/bottleneck_view.h
+++ b/src/decision/bottleneck_view.h
@@ -1,6 +1,6 @@
 /// @file
-/// Estimates the admission ratio of each service, and finds the bottleneck service of each route. Inputs are the
-/// reports that relays attach to their responses.
+/// Estimates the admission ratio of each service (share of its requests to admit at the entries), and finds the
+/// bottleneck service of each route. The inputs are reports that relays attach to their responses.
 #pragma once
 
 #include <map>
@@ -26,9 +26,9 @@
 
 /// What a relay reports about the route of a request.
 struct RouteReport {
-    ServiceLoad load;       ///< Of the relay's instance.
+    ServiceLoad load;       ///< Load of the relay's instance.
     Duration time{};        ///< Mean time that a request of the route holds a slot of the instance.
-    Bottleneck downstream;  ///< Of the calls that the route makes; its service is empty if the route makes none.
+    Bottleneck downstream;  ///< Bottleneck of the calls that the route makes; its service is empty if there is none.
     /// True if instances call the route, not clients. Unset while the relay cannot decide, as just after its start: a
     /// wrong "false" would let callers reject the calls of requests that were admitted already.
     std::optional<bool> is_internal;
@@ -39,10 +39,10 @@
     Duration report_ttl = 1s;               ///< A ratio holds this long after its last report, then rises to 1 over
                                             ///< the same time.
     Duration load_ttl = 500ms;              ///< A relay's load counts this long in the sum of its service.
-    double report_weight = 0.2;             ///< Of one report in the moving averages of ratios, times and costs.
+    double report_weight = 0.2;             ///< Weight of one report in the moving averages of ratios, times and costs.
     Duration ratio_averaging_time = 100ms;  ///< Ratios reported longer ago than this weigh little against a new one.
     double min_reported_share = 0.5;        ///< A route uses a service if at least this share of reports names it.
-    double reported_share_weight = 0.1;     ///< Of one report in that share.
+    double reported_share_weight = 0.1;     ///< Weight of one report in that share.
 };
 
 /// Keeps one estimate per service, whichever relay or route it was reported through: the summed load of the
@@ -58,7 +58,7 @@
     [[nodiscard]] Bottleneck bottleneckOf(TimePoint now, const std::string& route) const;
     /// @return the bottleneck of the internal calls that the local instance makes in one run of `route`.
     [[nodiscard]] Bottleneck bottleneckOfCalls(TimePoint now, const std::string& route, const CallGraph& graph) const;
-    /// True for a route that relays report as internal.
+    /// @return true if relays report the route as internal.
     [[nodiscard]] bool isInternal(const std::string& route) const;
     /// @return the service with the lowest admission ratio of all; its cost is not set.
     [[nodiscard]] Bottleneck worstBottleneck(TimePoint now) const;
@@ -70,15 +70,15 @@
     };
     struct Service {
         std::map<std::string, RelayLoad> relays;  ///< Relays that reported to this node within `load_ttl`.
-        ServiceLoad sum;                          ///< Of `relays`.
+        ServiceLoad sum;                          ///< Sum of the loads in `relays`.
         TimePoint last_eviction{};
-        std::optional<TimePoint> last_report;  ///< By one of its relays.
+        std::optional<TimePoint> last_report;  ///< Time of the last report by one of its relays.
         double reported_ratio = 1;             ///< Moving average of the ratios that other nodes report.
         std::optional<TimePoint> last_ratio_report;
     };
     /// What the calls of a route need of one service.
     struct DownstreamCost {
-        double cost = 0;            ///< Slot time of all of them, in seconds.
+        double cost = 0;            ///< Slot time of all these calls, in seconds.
         double reported_share = 0;  ///< Share of the reports that name the service.
     };
     struct Route {
--- a/src/decision/call_graph.cc
+++ b/src/decision/call_graph.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr double kDecay = 0.5;
+constexpr double kDecay = 0.5;        ///< Counts are multiplied by this once per `half_life`.
 constexpr int kMaxDeadlineTries = 8;  ///< Attempts to find a unique deadline for a sample.
 
 Duration fractionOf(Duration whole, double share) {
@@ -30,7 +30,7 @@
     }
 }
 
-/// True if a sample that identifies calls with this usual timeout still has ample time to complete.
+/// @return true if a sample that identifies calls with this usual timeout still has ample time to complete.
 bool CallGraph::hasAmpleTime(const Route& route, Duration usual) const {
     return route.mean_time > 0 &&
            toSeconds(fractionOf(usual, knobs_.sample_share)) >= knobs_.min_time_factor * route.mean_time;
@@ -45,7 +45,7 @@
     return route.since_sample >= (is_known ? knobs_.known_interval : knobs_.learning_interval);
 }
 
-/// The shortest timeout for a sample that leaves it ample time; zero if there is none.
+/// @return the shortest timeout for a sample that leaves it ample time; zero if there is none.
 Duration CallGraph::sampleTime(const Route& route) const {
     Duration shortest{};
     for (const auto& [callee, usual] : callees_) {
@@ -57,7 +57,7 @@
     return shortest;
 }
 
-/// The latest deadline up to the given one that no run has; the epoch if none was found.
+/// @return the latest deadline up to the given one that no run has; the epoch if none was found.
 TimePoint CallGraph::findUniqueDeadline(TimePoint deadline) const {
     const auto separation = 2 * knobs_.tolerance + 1ms;
     for (int tries = 0; tries < kMaxDeadlineTries; ++tries, deadline -= separation) {
@@ -140,7 +140,7 @@
     }
 }
 
-/// The only run with this deadline; null if there is none or more than one.
+/// @return the only run with this deadline; null if there is none or more than one.
 CallGraph::Run* CallGraph::findRunByDeadline(TimePoint deadline) {
     const auto found = by_deadline_.lower_bound(deadline - knobs_.tolerance);
     if (found == by_deadline_.end() || found->first > deadline + knobs_.tolerance) {
@@ -163,7 +163,7 @@
     return run->call_context;
 }
 
-/// Mean over the runs in progress, weighted by the calls to `callee` that each makes.
+/// @return the mean over the runs in progress, weighted by the calls to `callee` that each makes.
 CallContext CallGraph::meanContext(const std::string& callee) const {
     CallContext sum{0, 0};
     double weight = 0;
--- a/src/decision/call_graph.h
+++ b/src/decision/call_graph.h
@@ -1,5 +1,6 @@
 /// @file
-/// Learns how many calls an instance makes to each internal route in one run of each of its own routes.
+/// Learns how many calls an instance makes to each internal route in one run of each of its own routes. A run is the
+/// execution of one request by the instance.
 ///
 /// An internal call does not name the request that it is made for, but it must end by that request's deadline. If
 /// this is earlier than the call's usual timeout, the call's deadline equals the request's and identifies it. For
@@ -22,23 +23,23 @@
 /// What an internal call inherits from the request that it is made for.
 struct CallContext {
     double retry_probability = 0;  ///< Probability that the request was a retry, from 0 to 1.
-    double demand_weight = 1;      ///< Requests that arrived at entries per admitted one: at least 1.
+    double demand_weight = 1;      ///< Requests that arrived at entries per admitted request; at least 1.
 };
 
 /// Constants of the estimate.
 struct CallGraphKnobs {
-    Duration tolerance = 3ms;             ///< Greatest difference of the deadlines of a call and its request: both
-                                          ///< are rounded to milliseconds, and a call takes a moment to arrive.
-    Duration half_life = 30s;             ///< Counts are halved this often.
-    double sample_share = 0.85;           ///< Timeout of a sample as a share of the calls' usual timeout; the rest
-                                          ///< allows calls that are made late in a run to be identified.
-    double min_time_factor = 3;           ///< A sample has at least this many times the mean time of its route.
+    Duration tolerance = 3ms;    ///< Greatest difference of the deadlines of a call and its request: both
+                                 ///< are rounded to milliseconds, and a call takes a moment to arrive.
+    Duration half_life = 30s;    ///< Counts are halved this often.
+    double sample_share = 0.85;  ///< Timeout of a sample as a share of the calls' usual timeout; the rest
+                                 ///< allows calls that are made late in a run to be identified.
+    double min_time_factor = 3;  ///< The timeout of a sample is at least this many times the mean time of its route.
     std::uint32_t learning_interval = 1;  ///< One run in this many is a sample while a route's calls are unknown,
     std::uint32_t known_interval = 64;    ///< and one in this many afterwards, to detect changes.
     double min_samples = 4;               ///< Completed sample runs before an estimate is given.
     double min_failed_samples = 12;       ///< The same for failed runs, which may have ended before some calls.
     double min_calls = 0.05;              ///< A route depends on a callee if it calls it at least this often per run.
-    double time_weight = 0.1;             ///< Of one run in the moving average of a route's time.
+    double time_weight = 0.1;             ///< Weight of one run in the moving average of a route's time.
     Duration failure_ttl = 100ms;         ///< A failed call explains a failure of the instance for this long.
 };
 
@@ -51,14 +52,15 @@
     explicit CallGraph(CallGraphKnobs knobs) : knobs_(knobs) {}
 
     /// Registers a request that is about to be sent to the instance.
-    /// @param deadline   shortened to the deadline to send to the instance if the run becomes a sample.
+    /// @param deadline   in: deadline of the request; out: deadline to send to the instance, earlier for a sample.
     /// @return the run's id, for `onRunEnded`.
     RunId onRunBegan(TimePoint now, const std::string& route, const CallContext& call_context, TimePoint* deadline);
-    /// @param is_complete   the response was a success, so the run has made all of its calls.
+    /// Registers the end of a run.
+    /// @param is_complete   true if the response was a success: the run has made all of its calls.
     void onRunEnded(TimePoint now, RunId id, bool is_complete);
     /// Counts a call that the instance makes to the route `callee`.
-    /// @param timeout   of the call.
-    /// @return the context of the run that makes the call if that is identified, else the mean over all runs in
+    /// @param timeout   remaining time until the call's deadline.
+    /// @return the context of the run that makes the call if that run is identified, else the mean over all runs in
     /// progress.
     CallContext onCall(TimePoint now, const std::string& callee, Duration timeout);
     /// Registers that a call of the instance has failed.
@@ -96,7 +98,7 @@
         double mean_time = 0;  ///< Seconds; 0 before the first run has ended.
         std::uint32_t since_sample = 0;
         std::uint32_t running = 0;  ///< Invariant: the number of entries of `runs_` with this route.
-        CallContext sum{0, 0};      ///< Over the runs in progress.
+        CallContext sum{0, 0};      ///< Sum of the contexts of the runs in progress.
         std::map<std::string, Samples> by_callee;
     };
 
@@ -112,10 +114,10 @@
 
     CallGraphKnobs knobs_;
     RunId last_id_ = 0;
-    std::map<RunId, Run> runs_;                    ///< In progress.
+    std::map<RunId, Run> runs_;                    ///< Runs in progress.
     std::multimap<TimePoint, RunId> by_deadline_;  ///< Ids of `runs_`.
     std::map<std::string, Route> routes_;
-    std::map<std::string, Duration> callees_;  ///< Usual timeout of the calls, by route.
+    std::map<std::string, Duration> callees_;  ///< Usual timeout of the calls, by called route.
     UsualDeadlines usual_;
     std::deque<TimePoint> failed_calls_;  ///< In order of time; those that explain no failure yet.
     TimePoint decayed_at_{};
--- a/src/decision/instance_demand.cc
+++ b/src/decision/instance_demand.cc
@@ -8,7 +8,7 @@
 
 constexpr double kInitialTime = 0.05;  ///< Slot time in seconds assumed for a route without a response.
 constexpr double kMinWindow = 0.3;     ///< Seconds; rates over a shorter time are too noisy.
-constexpr double kMinSlots = 1e-6;
+constexpr double kMinSlots = 1e-6;     ///< Avoids a division by zero.
 /// Shares of the slots in use: up to the first a service counts as no bottleneck, from the second on as one.
 constexpr double kIdleUtilization = 0.5;
 constexpr double kSaturatedUtilization = 0.8;
@@ -68,7 +68,7 @@
     spanAt(now).arrived_work += demand_weight * toSeconds(timeOf(route));
 }
 
-void InstanceDemand::onAnswered(const std::string& route, Duration time) {
+void InstanceDemand::onResponse(const std::string& route, Duration time) {
     auto& average = times_.try_emplace(route, toSeconds(time)).first->second;
     average += (toSeconds(time) - average) * knobs_.time_weight;
 }
--- a/src/decision/instance_demand.h
+++ b/src/decision/instance_demand.h
@@ -26,28 +26,29 @@
 
 /// Constants of the measurement.
 struct DemandKnobs {
-    Duration window = 1s;              ///< Of the measurement.
+    Duration window = 1s;              ///< Length of the sliding window.
     double target_utilization = 0.97;  ///< Share of the slots to keep in use.
     Duration backlog_drain_time = 1s;  ///< Time within which queued work is to be completed besides new requests.
-    double min_share = 0.3;            ///< Of the slots, left to new requests whatever the length of the queue.
-    double time_weight = 0.1;          ///< Of one response in the moving average of a route's slot time.
+    double min_share = 0.3;            ///< Share of the slots left to new requests whatever the length of the queue.
+    double time_weight = 0.1;          ///< Weight of one response in the moving average of a route's slot time.
 };
 
 /// Measures an instance's load over a sliding window.
 ///
-/// Each request counts with its demand weight: the requests that arrived at entries per admitted one. The sum is the
-/// demand before admission, independent of the ratios that entries apply at present, so the admission ratio follows
+/// Each request counts with its demand weight: the requests that arrived at entries per admitted request. The sum is
+/// the demand before admission, independent of the ratios that entries apply at present, so the admission ratio follows
 /// from it without a feedback loop.
 class InstanceDemand {
 public:
     explicit InstanceDemand(DemandKnobs knobs) : knobs_(knobs) {}
     /// Counts a request that was admitted or queued, or that was rejected by the last relay it was sent to.
-    /// @param represents   its demand weight.
+    /// @param demand_weight   requests that arrived at entries per admitted request; at least 1.
     void onArrival(TimePoint now, const std::string& route, double demand_weight);
-    /// Registers a response. @param time that the request held a slot.
-    void onAnswered(const std::string& route, Duration time);
+    /// Registers a response. @param time for which the request held a slot.
+    void onResponse(const std::string& route, Duration time);
     /// Registers a change of the number of slots in use to `running`.
     void onRunning(TimePoint now, std::uint32_t running);
+    /// @return the load over the window that ends now.
     /// @param limit          slots that may be used.
     /// @param waiting_work   slot time that queued requests need.
     [[nodiscard]] ServiceLoad load(TimePoint now, std::uint32_t limit, Duration waiting_work);
@@ -55,10 +56,10 @@
     [[nodiscard]] Duration timeOf(const std::string& route) const;
 
 private:
-    static constexpr std::size_t kSpans = 10;  ///< Spans of a window.
+    static constexpr std::size_t kSpans = 10;  ///< Number of spans in a window.
     /// Sums over one span of time, in seconds of slot time.
     struct Span {
-        std::int64_t number = -1;
+        std::int64_t number = -1;  ///< `spanNumber` of its times; -1 before its first use.
         double arrived_work = 0;
         double busy = 0;
     };
@@ -70,7 +71,7 @@
     DemandKnobs knobs_;
     std::array<Span, kSpans + 1> spans_;   ///< Ring buffer by number: the window's spans and the current one.
     std::map<std::string, double> times_;  ///< Mean slot time in seconds, by route.
-    TimePoint started_{};                  ///< First arrival; the epoch before it.
+    TimePoint started_{};                  ///< Time of the first arrival; the epoch before there is one.
     TimePoint busy_since_{};               ///< End of the time that `Span::busy` covers.
     std::uint32_t running_ = 0;
 };
--- a/src/decision/retry_budget.h
+++ b/src/decision/retry_budget.h
@@ -1,5 +1,5 @@
 /// @file
-/// Retry budget: limits the retries that an instance is sent, as a share of the first attempts.
+/// Retry budget: limits the retries that are sent to the instances of a service, as a share of the first attempts.
 #pragma once
 
 #include <cstdint>
@@ -43,13 +43,13 @@
 public:
     /// @param started   when the relay started.
     RetryBudget(RetryLimit limit, TimePoint started);
-    /// Counts a first attempt. @param retry_probability probability, from 0 to 1, that it is a call of a retried
-    /// request; to that part it counts as a retry.
+    /// Counts a first attempt. @param retry_probability probability, from 0 to 1, that a retried request makes this
+    /// call. The attempt counts as a retry to that part.
     void onFirstAttempt(TimePoint now, double retry_probability);
     /// Takes one retry from the budget.
     /// @param relays        number of relays that share the slack.
     /// @param slack_share   usable share, from 0 to 1, of this relay's part of the slack.
-    /// @return false if the budget is exhausted.
+    /// @return true if the retry is granted, false if the budget is exhausted.
     bool tryRetry(TimePoint now, std::size_t relays, double slack_share);
     /// @return the counts since the start.
     [[nodiscard]] const RetryTotals& totals() const { return totals_; }
@@ -69,9 +69,9 @@
     [[nodiscard]] double slackPerRelay(std::size_t relays) const;
 
     RetryLimit limit_;
-    std::int64_t window_steps_;  ///< At least one.
+    std::int64_t window_steps_;  ///< Steps per window; at least one.
     std::int64_t start_step_;    ///< Number of the step in which the relay started.
-    std::deque<Step> steps_;     ///< Of the last window, in order of time; steps without a request may be left out.
+    std::deque<Step> steps_;  ///< Steps of the last window, in order of time; steps without a request may be left out.
     RetryTotals totals_;
 };
 
--- a/src/decision/usual_deadlines.h
+++ b/src/decision/usual_deadlines.h
@@ -10,7 +10,8 @@
 namespace dewcrank::decision {
 
 /// Tracks the usual timeout of each route: the longest one of its recent requests. A client retry, or a call that is
-/// made for another request, often has a shorter timeout: the time that is left to it.
+/// made for another request, often has a shorter timeout: the time that is left until
+/// the deadline of the first attempt or of the other request.
 class UsualDeadlines {
 public:
     /// Registers a request. @return true if its timeout is shorter than the usual one of its route.
--- a/src/entry/access_check.h
+++ b/src/entry/access_check.h
@@ -27,7 +27,7 @@
 
 /// Constants of the check.
 struct AccessKnobs {
-    Duration catch_up_time = 500ms;  ///< `retry_after` while the route table is stale: it is fetched meanwhile.
+    Duration catch_up_time = 500ms;  ///< `retry_after` while the route table is stale and a newer one is fetched.
 };
 
 /// Extracts the API key from the `Authorization` header. @param scheme expected authentication scheme, e.g. "Bearer".
@@ -37,6 +37,7 @@
 /// Checks a caller's key. A key is required if the table has tenants and the route is not open. Keys are accepted only
 /// while the table's lease is valid. An unknown key gets 401 only if no newer table is known to exist, else 503.
 /// @param key nothing if the request has none.
+/// @return the tenant or a rejection; neither if the request is admitted without a key.
 Access checkAccess(TimePoint now, const policy::RouteTable& table, const policy::TableLease& lease,
                    const wire::Route& route, std::optional<std::string_view> key, const AccessKnobs& knobs);
 
--- a/src/entry/call_intake.h
+++ b/src/entry/call_intake.h
@@ -17,7 +17,7 @@
 /// A request that has passed all checks.
 struct Admitted {
     policy::RoutePtr route;
-    policy::TenantPtr tenant;           ///< Null if it has none.
+    policy::TenantPtr tenant;           ///< Null if the request has none.
     std::optional<quota::Token> token;  ///< Quota token; return it if the request does not run.
 };
 
@@ -50,7 +50,9 @@
     /// Calls back exactly once, synchronously or later, unless the request is cancelled.
     /// @param id for `cancel` and `isWaiting`; must be unique among waiting requests.
     void start(CallId id, HttpRequest request, const Callback& callback);
+    /// Cancels a waiting request; its callback is not called. Ignores other ids.
     void cancel(CallId id);
+    /// @return true while the request waits for a quota token.
     [[nodiscard]] bool isWaiting(CallId id) const { return waiting_.contains(id); }
     [[nodiscard]] std::size_t waitingCount() const { return waiting_.size(); }
 
--- a/src/entry/entry_call.cc
+++ b/src/entry/entry_call.cc
@@ -68,8 +68,9 @@
     });
 }
 
-/// Plans no retry while the service or one that it calls is overloaded, so that relays reserve no retry budget for it.
-relay::RetryPolicy EntryCall::failurePlan() const {
+/// @return when a failure of the next attempt is retried: never while the service or one that it calls is overloaded,
+/// so that relays take no retry from their budgets.
+relay::RetryPolicy EntryCall::retryPolicy() const {
     const bool is_last = attempts_made_ + 1 >= plan_.route->max_attempts();
     if (is_last || services_.is_overloaded(plan_) || !services_.selector.hasReachableRelay(plan_.service, tried_)) {
         return relay::RetryPolicy::kNever;
@@ -85,7 +86,7 @@
     request.instance = target.instance;
     request.is_retry = attempts_made_ > 0;
     request.is_retry_paid = is_retry_paid_;
-    request.retry_policy = failurePlan();
+    request.retry_policy = retryPolicy();
     request.is_counted = is_counted_;
     request.is_suspect = is_suspect_;
     request.is_only_candidate = target.is_stopping;
--- a/src/entry/entry_call.h
+++ b/src/entry/entry_call.h
@@ -30,15 +30,16 @@
 
 /// Constants of calls at their entry.
 struct EntryKnobs {
-    double max_queue_wait_ratio = 0.25;  ///< Longest wait in a relay's queue, per latency objective.
-    double instance_wait_ratio = 0.125;  ///< Wait for an instance if none is known, per latency objective.
-    std::size_t max_rejections = 3;      ///< Relays that may reject a request before the call fails.
-    Duration min_retry_after = 150ms;    ///< `Retry-After` is uniform between these two.
+    double max_queue_wait_ratio = 0.25;  ///< Longest wait in a relay's queue, as a share of the latency objective.
+    double instance_wait_ratio =
+        0.125;                         ///< Wait for an instance if none is known, as a share of the latency objective.
+    std::size_t max_rejections = 3;    ///< Relays that may reject a request before the call fails.
+    Duration min_retry_after = 150ms;  ///< `Retry-After` is random, uniform between these two.
     Duration max_retry_after = 500ms;
-    Duration min_overload_retry_after = 500ms;  ///< The same if the call failed because of overload.
+    Duration min_overload_retry_after = 500ms;  ///< These two apply if the call failed because of overload.
     Duration max_overload_retry_after = 1600ms;
     Duration quarantine_retry_after = 60s;  ///< `Retry-After` of a quarantined request.
-    Duration min_remaining = 10ms;          ///< With less time than this left there is no further attempt.
+    Duration min_remaining = 10ms;          ///< There is no further attempt with less time than this left.
     Duration relay_deadline_margin = 20ms;  ///< A relay's deadline is this much earlier than the call's.
 };
 
@@ -46,11 +47,11 @@
 struct EntryPlan {
     HttpRequest request;                 ///< Without hop-by-hop headers.
     policy::RoutePtr route;              ///< Never null; unaffected by later changes of the table.
-    std::string service;                 ///< Whose instances may run the request.
-    std::uint32_t priority = 0;          ///< Of the route; 0 is the most urgent.
-    std::uint32_t rank = 0;              ///< Order of admission: by priority of the tenant, then of the route.
-    TimePoint deadline{};                ///< The caller has its response by then.
-    Duration caller_deadline{};          ///< Time limit that the caller sent, or the timeout of the route.
+    std::string service;                 ///< Name of the service whose instances may run the request.
+    std::uint32_t priority = 0;          ///< Priority of the route; 0 is the most urgent.
+    std::uint32_t rank = 0;              ///< Order of admission, from `policy::rankOf`; 0 is rejected last.
+    TimePoint deadline{};                ///< The caller receives its response by this time.
+    Duration caller_deadline{};          ///< Timeout that the caller sent, or else that of the route.
     decision::CallContext call_context;  ///< Inherited from the run that makes this call.
 };
 
@@ -107,6 +108,8 @@
     using ReplyCallback = std::function<void(HttpResponse)>;
     using EndCallback = std::function<void(const EntryReport&)>;
 
+    /// @param reply   receives the response, once.
+    /// @param end     receives the summary right after the response; must not destroy this call before it returns.
     EntryCall(EntryServices& services, EntryPlan plan, ReplyCallback reply, EndCallback end);
     ~EntryCall();
     EntryCall(const EntryCall&) = delete;
@@ -116,15 +119,15 @@
     void start();
     /// Responds with 503 for overload instead of starting the call.
     void reject(const char* reason);
-    /// Call when a node does not respond to probes. An idempotent request that runs there is retried at another relay;
-    /// any other keeps waiting, as the node may still respond.
+    /// Call when a node does not respond to probes. An idempotent request that was sent to this node is retried at
+    /// another relay; any other keeps waiting, as the node may still respond.
     void onNodeUnresponsive(const std::string& node);
 
 private:
     void sendToNext();
     void awaitInstance();
     void sendTo(const RelayTarget& target);
-    [[nodiscard]] relay::RetryPolicy failurePlan() const;
+    [[nodiscard]] relay::RetryPolicy retryPolicy() const;
     [[nodiscard]] relay::RelayRequest relayRequest(const RelayTarget& target) const;
     void onRelayResponse(AttemptResult result);
     void onSuperseded(const relay::ReceivedResult& received);
--- a/src/entry/relay_selector.h
+++ b/src/entry/relay_selector.h
@@ -20,9 +20,9 @@
     double cold_cost = 0.3;         ///< Added for a cold instance.
     double cold_factor = 2.0;       ///< Multiplies the utilization of a cold instance, which is slower.
     double max_random_cost = 0.05;  ///< Uniform from zero to this; keeps entries from choosing the same relay.
-    double suspected_cost = 100;    ///< Such a relay is chosen only if there is no other.
+    double suspected_cost = 100;    ///< Added for a suspected relay, so that any other one is preferred.
     Duration load_decay = 2s;       ///< Weight of a reported load falls linearly to zero over this time.
-    double failure_cost = 3;        ///< Times the decaying mean of recent failures, so that recovery is noticed.
+    double failure_cost = 3;        ///< Multiplies the decaying mean of recent failures, from 0 to 1.
     Duration failure_decay = 2s;    ///< Decay time of that mean.
 };
 
@@ -48,16 +48,16 @@
     [[nodiscard]] bool hasRelay(const std::string& service) const;
     /// True if a relay serves the service that is neither excluded, suspected nor stopping.
     [[nodiscard]] bool hasReachableRelay(const std::string& service, const std::set<std::string>& excluded) const;
-    /// An attempt was sent to the relay of a node.
+    /// Call when an attempt was sent to the relay of a node.
     void onSent(const std::string& node);
-    /// The attempt has ended, for whatever reason.
+    /// Call when the attempt has ended, for whatever reason.
     void onEnded(const std::string& node);
-    /// The relay has reported its load.
+    /// Call when the relay of a node has reported its load.
     void onLoad(const std::string& node, const relay::QueueLoad& load);
-    /// An instance that was sent a request has finished it, or lost it. @param has_failed it responded with a failure
-    /// of its own, or without a complete response.
+    /// Call when the result of a request that was sent to a node's instance is known. @param has_failed true if the
+    /// instance responded with a failure of its own, or sent no complete response.
     void onOutcome(const std::string& node, bool has_failed);
-    /// @return number of relays that serve a service and are not stopping.
+    /// @return the number of relays that serve a service and are not stopping.
     [[nodiscard]] std::size_t relayCount(const std::string& service) const;
 
 private:
@@ -78,7 +78,7 @@
     /// A relay that may be chosen, from the directory.
     struct Candidate {
         const wire::NodeRecord& record;
-        std::size_t ordinal;  ///< Of its node in the directory.
+        std::size_t ordinal;  ///< Index of its node in the directory.
         Duration cold_left;
         bool is_suspected;
     };
@@ -91,7 +91,7 @@
     RandomSource& random_;
     const fleet::NodeDirectory& directory_;
     SelectorKnobs knobs_;
-    std::vector<RelayStats> stats_;  ///< Indexed by the directory's number of the node; 0 is this node.
+    std::vector<RelayStats> stats_;  ///< Indexed by the node's ordinal in the directory; 0 is this node.
 };
 
 }  // namespace dewcrank::entry
--- a/src/instance/local_instance.cc
+++ b/src/instance/local_instance.cc
@@ -10,7 +10,7 @@
 /// second while messages are delayed by up to a minute.
 constexpr std::size_t kMaxIncarnations = 64;
 /// Time for which an incarnation with an earlier start time has to send heartbeats before it replaces one that is down.
-/// Tells an instance whose clock was set back from delayed heartbeats, which arrive together.
+/// Distinguishes an instance whose clock was set back from delayed heartbeats, which arrive together.
 constexpr Duration kEarlierStartDelay = 1s;
 
 }  // namespace
@@ -88,8 +88,9 @@
     return true;
 }
 
-/// A leave without a start time applies to the current incarnation: if it were ignored, an instance that is stopping
-/// would still be sent requests. The leave of a later incarnation implies that the current one is gone as well.
+/// An announcement without a start time applies to the current incarnation: if it were ignored, an instance that is
+/// stopping would still be sent requests. The announcement of a later incarnation implies that the current one is gone
+/// as well.
 void LocalInstance::onLeave(const std::string& id, std::uint64_t start_ms) {
     const auto active = current();
     const bool names_current = active.first.empty() || (active.first == id && (start_ms == 0 || active.second == 0));
--- a/src/instance/local_instance.h
+++ b/src/instance/local_instance.h
@@ -42,13 +42,14 @@
 
     /// @return false if the heartbeat is outdated and was ignored.
     bool onHeartbeat(const Heartbeat& heartbeat);
-    /// The instance announces its shutdown. @param start_ms start time of the incarnation that leaves; 0 if unknown.
+    /// The instance has announced its shutdown. @param start_ms start time of the incarnation that leaves; 0 if
+    /// unknown.
     void onLeave(const std::string& id, std::uint64_t start_ms = 0);
     /// The instance could not be reached: its state is unknown until its next heartbeat.
     void onUnreachable();
     /// The instance has responded to a request: restarts the contact timeout.
     void onResponse() { last_contact_ = clock_.now(); }
-    /// The host resumed from suspension: restarts the contact timeout, as nothing could arrive meanwhile.
+    /// The host has resumed from suspension: restarts the contact timeout, as nothing could arrive meanwhile.
     void onWoken();
     /// Another instance than `expected` has responded at the address: `expected` counts as gone.
     void onMisdirected(const std::string& expected);
@@ -68,7 +69,7 @@
     using Incarnation = std::pair<std::string, std::uint64_t>;  ///< Id and start time in ms.
     /// Last reported state of a current or former incarnation.
     struct IncarnationState {
-        std::uint64_t sequence = 0;           ///< Of its newest heartbeat.
+        std::uint64_t sequence = 0;           ///< Sequence number of its newest heartbeat.
         bool has_left = false;                ///< Later heartbeats are ignored.
         std::uint64_t last_use = 0;           ///< The entry with the lowest value is evicted first.
         std::optional<TimePoint> first_seen;  ///< Set while an earlier start time delays the replacement.
--- a/src/policy/route_table.h
+++ b/src/policy/route_table.h
@@ -26,6 +26,7 @@
 inline constexpr std::uint32_t kPriorities = 8;
 /// Rank by which requests are rejected, the greatest first: by the priority of the tenant, then by that of the route.
 /// @param tenant   null counts as priority 0.
+/// @return the rank; 0 is rejected last.
 std::uint32_t rankOf(const wire::Route& route, const wire::Tenant* tenant);
 
 /// Holds one complete version of the table, and indexes it. Adopted versions only increase.
@@ -65,17 +66,17 @@
     std::shared_ptr<const wire::RouteTable> table_ = std::make_shared<const wire::RouteTable>();
     /// By host in lower case; longest prefix first.
     std::map<std::string, std::vector<const wire::Route*>, std::less<>> by_host_;
-    TenantIndex tenants_;  ///< Of table_.
+    TenantIndex tenants_;  ///< Tenants of `table_`.
     std::map<std::string, const wire::Tenant*, std::less<>> tenants_by_name_;
     std::uint64_t newest_seen_ = 0;
     sigc::signal<void()> signal_adopted_;
 };
 
-/// Splits the requests of a route among its parts by weight. Uses a low-discrepancy (golden ratio) sequence, so that
-/// the weights hold closely over few requests too.
+/// Splits the requests of a route among its parts (services with weights). Uses a low-discrepancy (golden ratio)
+/// sequence, so that the weights hold closely over few requests too.
 class TrafficSplitter {
 public:
-    /// @param start   random in [0, 1), so that nodes do not choose in lockstep.
+    /// @param start   random in [0, 1), so that nodes do not choose the same parts at the same time.
     explicit TrafficSplitter(double start) : position_(start) {}
     /// @return index of the part that the next request is sent to.
     std::size_t next(const wire::Route& route);
--- a/src/policy/table_columns.cc
+++ b/src/policy/table_columns.cc
@@ -209,7 +209,7 @@
         {"keys", "new keys, and existing ones by their #fingerprints, separated by spaces",
          "API keys of this tenant; displayed as fingerprints only", formatKeys, parseKeys, true},
         {"priority", "a whole number from 0 to " + std::to_string(kLowestPriority) + ", or -",
-         "of its requests, in place of their routes'; -: their routes'",
+         "priority of its requests, in place of that of their routes; -: that of their routes",
          [](const Tenant& it) { return it.has_priority() ? std::to_string(it.priority()) : std::string("-"); },
          [](Tenant* it, const std::string& value) {
              const auto number = parseNumber(value, 0, kLowestPriority);
--- a/src/policy/table_columns.h
+++ b/src/policy/table_columns.h
@@ -18,9 +18,10 @@
     const char* meaning;  ///< Describes the column, with its unit.
     std::function<std::string(const Message&)> get;
     std::function<bool(Message*, const std::string&)> set;  ///< Returns false if the value is not allowed.
-    bool is_secret = false;                                 ///< Error messages do not contain the value.
+    bool is_secret = false;                                 ///< True: error messages do not contain the value.
 };
 
+/// @return the columns of a type of row, in display order.
 const std::vector<Column<wire::Route>>& routeColumns();
 const std::vector<Column<wire::ServiceEntry>>& serviceColumns();
 const std::vector<Column<wire::Tenant>>& tenantColumns();
--- a/src/policy/table_rows.h
+++ b/src/policy/table_rows.h
@@ -18,7 +18,7 @@
 struct ColumnInfo {
     std::string name;
     std::string allowed;  ///< Values that a cell may hold.
-    std::string meaning;  ///< With its unit.
+    std::string meaning;  ///< What the column is for, with its unit.
 };
 
 /// Cells of one row, by column.
--- a/src/quarantine/exchange.h
+++ b/src/quarantine/exchange.h
@@ -29,10 +29,10 @@
 
 /// Constants of the exchange.
 struct ExchangeKnobs {
-    Duration timeout = 600ms;          ///< Of a message.
-    Duration interval = 1s;            ///< Between gossip rounds.
+    Duration timeout = 600ms;          ///< Time within which a message needs a response.
+    Duration interval = 1s;            ///< Time between gossip rounds.
     std::size_t fanout = 2;            ///< Relays per gossip round.
-    std::size_t initial_requests = 2;  ///< Relays that a started relay requests records and suspects from.
+    std::size_t initial_requests = 2;  ///< Relays from which a relay requests records and suspects after its start.
 };
 
 /// Sends and receives the quarantine messages of one relay. Log events: `quarantine_learned` when a received record is
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -79,8 +79,8 @@
     if ((!is_newer && !is_stricter) || is_contradicted) {
         return false;
     }
-    const Duration remainingTerm = std::min<Duration>(std::chrono::milliseconds(record.left_ms()), knobs_.max_term);
-    records_[record.fingerprint()] = {record.version(), record.is_released(), clock_.now() + remainingTerm};
+    const Duration remaining_term = std::min<Duration>(std::chrono::milliseconds(record.left_ms()), knobs_.max_term);
+    records_[record.fingerprint()] = {record.version(), record.is_released(), clock_.now() + remaining_term};
     suspects_.erase(record.fingerprint());
     evictStale();
     return true;
@@ -89,12 +89,12 @@
 std::vector<wire::QuarantineRecord> Quarantine::records() const {
     std::vector<wire::QuarantineRecord> all;
     for (const auto& [fingerprint, it] : records_) {
-        const auto remainingTerm = std::max(Duration::zero(), it.until - clock_.now());
+        const auto remaining_term = std::max(Duration::zero(), it.until - clock_.now());
         wire::QuarantineRecord record;
         record.set_fingerprint(fingerprint);
         record.set_version(it.version);
         record.set_is_released(it.is_released);
-        record.set_left_ms(static_cast<std::uint32_t>(toMilliseconds(remainingTerm)));
+        record.set_left_ms(static_cast<std::uint32_t>(toMilliseconds(remaining_term)));
         all.push_back(std::move(record));
     }
     return all;
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -5,7 +5,7 @@
 ///   clear -> suspect:        it was running when an instance crashed
 ///   suspect -> quarantined:  it was the only suspect running when another instance crashed
 ///   suspect -> clear:        it completed, or was not marked again before `suspicion_timeout`
-///   quarantined -> suspect:  its term is over: a new release may fix the crash
+///   quarantined -> suspect:  its term, the duration of its quarantine, is over: a new release may fix the crash
 ///   quarantined -> clear:    it completed at another relay
 ///
 /// Relays run one suspect at a time, so that a crash quarantines at most one request.
@@ -28,7 +28,7 @@
 
 /// Constants of the quarantine of one relay.
 struct QuarantineKnobs {
-    Duration suspicion_timeout = 60s;  ///< Longer than clients retry.
+    Duration suspicion_timeout = 60s;  ///< Longer than clients go on retrying.
     /// A term of quarantine lasts `initial_term` times the version of the record, so that repeated terms grow.
     Duration initial_term = std::chrono::minutes(10);
     Duration max_term = std::chrono::hours(24);
@@ -52,7 +52,7 @@
     Quarantine(Clock& clock, QuarantineKnobs knobs);
 
     [[nodiscard]] QuarantineState state(Fingerprint fingerprint) const;
-    /// @return time until the quarantine ends; zero if the request is not quarantined.
+    /// @return the time until the quarantine ends; zero if the request is not quarantined.
     [[nodiscard]] Duration remainingTerm(Fingerprint fingerprint) const;
 
     /// The request was running when an instance crashed, here or at another relay. A request that recently completed
@@ -65,18 +65,18 @@
     void onCompleted(Fingerprint fingerprint);
     /// Another relay has reported that the request completed there. Clears the request.
     void onCompletedElsewhere(Fingerprint fingerprint);
-    /// True if the request completed at this relay within the retention of `RecentCompletions`.
+    /// @return true if the request completed at this relay within the retention of `RecentCompletions`.
     [[nodiscard]] bool hasRecentlyCompleted(Fingerprint fingerprint) const;
 
     /// Merges a record of another relay. @return true if the record held here has changed.
     bool merge(const wire::QuarantineRecord& record);
-    /// All records, released and expired ones included, to be sent to other relays.
+    /// @return all records, released and expired ones included, to be sent to other relays.
     [[nodiscard]] std::vector<wire::QuarantineRecord> records() const;
-    /// Requests whose suspicion has not timed out.
+    /// @return the requests whose suspicion has not timed out.
     [[nodiscard]] std::vector<Fingerprint> suspects() const;
-    /// @return number of suspects held, including timed-out ones that were not evicted yet.
+    /// @return the number of suspects held, including timed-out ones that were not evicted yet.
     [[nodiscard]] std::size_t suspectCount() const { return suspects_.size(); }
-    /// @return number of requests whose term has not ended.
+    /// @return the number of requests whose term has not ended.
     [[nodiscard]] std::size_t quarantinedCount() const;
 
 private:
--- a/src/quarantine/recent_completions.h
+++ b/src/quarantine/recent_completions.h
@@ -22,7 +22,9 @@
 public:
     explicit RecentCompletions(RecentCompletionKnobs knobs) : knobs_(knobs), entries_(knobs.entries) {}
 
+    /// Registers a completion.
     void add(TimePoint now, Fingerprint fingerprint) { entryOf(fingerprint) = {fingerprint, now}; }
+    /// @return true if the request is known to have completed within the retention.
     [[nodiscard]] bool contains(TimePoint now, Fingerprint fingerprint) const {
         const auto& it = entries_[fingerprint % entries_.size()];
         return it.fingerprint == fingerprint && it.at != TimePoint{} && now - it.at < knobs_.retention;
--- a/src/quarantine/run_tracker.h
+++ b/src/quarantine/run_tracker.h
@@ -1,5 +1,6 @@
 /// @file
-/// Tracks the runs of a relay's instance and decides which requests become suspects when the instance crashes.
+/// Tracks the runs (requests in execution) of a relay's instance and decides which requests become suspects when the
+/// instance crashes.
 #pragma once
 
 #include <cstdint>
@@ -16,19 +17,19 @@
 
 /// The requests that a crash was attributed to.
 struct CrashNotice {
-    std::string instance;                  ///< Incarnation that crashed.
+    std::string instance;                  ///< Name of the incarnation that crashed.
     std::size_t runs = 0;                  ///< Runs that the crash may be due to.
     std::vector<Fingerprint> suspects;     ///< Requests that became suspects.
-    std::vector<Fingerprint> quarantined;  ///< The trial, if there was one; at most one entry.
+    std::vector<Fingerprint> quarantined;  ///< The request that ran as a trial, if there was one; at most one entry.
 };
 
 /// A request that was sent to an instance.
 struct Run {
     std::string request;  ///< Request id.
     std::string route;
-    std::string instance;  ///< Incarnation that the request was sent to.
+    std::string instance;  ///< Name of the incarnation that the request was sent to.
     Fingerprint fingerprint = 0;
-    bool is_trial = false;  ///< It is a suspect, and the only one that runs there.
+    bool is_trial = false;  ///< The request is a suspect, and the only one that runs there.
 };
 
 /// Holds running requests and, for a short time, ended ones that may still cause a crash: an instance may go on with a
@@ -40,7 +41,7 @@
     RunTracker(Clock& clock, EventLog& log, Quarantine& quarantine)
         : clock_(clock), log_(log), quarantine_(quarantine) {}
 
-    /// @param id unique among the runs tracked.
+    /// Adds a run. @param id unique among the runs tracked.
     void onSent(RunId id, Run run) { runs_[id] = std::move(run); }
     /// The run is over, or was not sent. Does nothing after `onCancelled` or `onConnectionLost`.
     void onEnded(RunId id) { runs_.erase(id); }
@@ -48,12 +49,12 @@
     void onCancelled(RunId id);
     /// The connection broke before the response was complete.
     void onConnectionLost(RunId id);
-    /// @return number of requests that run at the instance now.
+    /// @return the number of requests that run at the instance now.
     [[nodiscard]] std::size_t runningAt(const std::string& instance) const;
-    /// True if a crash of this instance would be attributed to any run, be it running or recently ended.
+    /// @return true if a crash of this incarnation would be attributed to any run, be it in progress or recently ended.
     [[nodiscard]] bool hasRuns(const std::string& instance);
     /// Quarantines the trial that ran at the crashed instance and marks all other requests that ran there as suspects.
-    /// Logs `instance_crashed`, and `request_quarantined` if there was a trial.
+    /// Logs `instance_crashed`, and `request_quarantined` if there was a trial. @return the requests concerned.
     CrashNotice attributeCrash(const std::string& instance);
 
 private:
--- a/src/quarantine/trial_gate.h
+++ b/src/quarantine/trial_gate.h
@@ -24,9 +24,9 @@
 
 /// Constants of the gate.
 struct TrialGateKnobs {
-    std::size_t min_up = 2;          ///< Instances that run no trial, so that they stay up.
+    std::size_t min_up = 2;          ///< Number of instances that run no trial, so that they stay up.
     Duration settle_time = 250ms;    ///< Time for the directory to show a crash, and one that follows right after it.
-    Duration max_restart_time = 5s;  ///< A crashed instance that is not back by then counts as lost.
+    Duration max_restart_time = 5s;  ///< A crashed instance that has not restarted within this time counts as lost.
 };
 
 /// Input of the decision.
@@ -43,12 +43,14 @@
 
     TrialGate(Clock& clock, TrialGateKnobs knobs) : clock_(clock), knobs_(knobs) {}
 
-    /// @param source called for each decision. Without a source the instance counts as the only one of its service.
+    /// @param source called for each decision. Without a source this relay's instance counts as the only one of its
+    /// service.
     void setConditionsSource(ConditionsSource source) { source_ = std::move(source); }
     /// Call when an instance of the service has crashed, at this relay or another.
     void onInstanceCrashed() { last_crash_ = clock_.now(); }
+    /// @return the current input of the decision, for log events.
     [[nodiscard]] TrialConditions conditions() const { return source_(); }
-    /// @return time until a suspect may run here, zero if at once; nothing if this relay may run no trials.
+    /// @return the time until a suspect may run here, zero if it may at once; nothing if this relay may run no trials.
     [[nodiscard]] std::optional<Duration> wait() const;
 
 private:
--- a/src/relay/crash_detector.h
+++ b/src/relay/crash_detector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Tells the crash of an instance from the loss of single connections.
+/// Distinguishes the crash of an instance from the loss of single connections.
 ///
 /// A crash closes all connections of the instance at once, and its port accepts no new ones. An instance that is
 /// alive keeps its other runs when one connection is reset, and accepts new connections. A frozen instance closes none.
@@ -29,14 +29,14 @@
 
     /// @param path of the health endpoint of the instance, used for probes.
     void setProbePath(std::string path) { probe_path_ = std::move(path); }
-    /// The connection of a run was lost. @param running number of runs at the instance, including this one.
+    /// Call when the connection of a run was lost. @param running number of runs at the instance, including this one.
     void onConnectionLost(std::size_t running);
-    /// The instance refused a connection: decides a pending burst without waiting for a probe.
+    /// Call when the instance refused a connection. Decides a pending burst without waiting for a probe.
     void onConnectionRefused();
     /// @return whether a burst was seen and its decision is pending.
     [[nodiscard]] bool isPending() const { return lost_ > 0; }
 
-    /// Emitted once after each burst with true if the instance has crashed.
+    /// Emitted once after each burst, with true if the instance has crashed.
     sigc::signal<void(bool)>& signalDecided() { return signal_decided_; }
 
 private:
--- a/src/relay/instance_queue.h
+++ b/src/relay/instance_queue.h
@@ -1,5 +1,6 @@
 /// @file
-/// Bounds the requests that run at one instance at once; the others wait in order of their virtual deadlines.
+/// Bounds the number of requests that run at one instance at once; other requests wait in order of their virtual
+/// deadlines.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +21,7 @@
 
 /// A request for admission.
 struct QueueRequest {
-    TimePoint virtual_deadline{};  ///< The earliest one is admitted first.
+    TimePoint virtual_deadline{};  ///< Order of admission: the request with the earliest one is admitted first.
     TimePoint expires_at{};        ///< The request leaves the queue at this time if it is not admitted before.
 };
 
@@ -32,25 +33,27 @@
     Duration mean_service_time{};  ///< Moving average of the time that a request holds a slot.
 };
 
-/// Counts the running requests and calls back when a waiting one is admitted or expires. Does not own the requests.
+/// Counts the running requests, and calls back when a waiting one is admitted or expires. Does not own the requests.
 class InstanceQueue {
 public:
+    /// Result for one request: admitted, expired in the queue, or rejected at once for its expected wait.
     enum class Decision { kAdmitted, kTimedOut, kWaitTooLong };
     using Callback = std::function<void(Decision)>;
 
     InstanceQueue(Clock& clock, QueueKnobs knobs)
         : clock_(clock), knobs_(knobs), mean_service_time_(knobs.initial_estimate) {}
 
-    /// @param limit of running requests; waiting requests are admitted at once if it allows them.
+    /// @param limit maximum number of running requests. Waiting requests are admitted at once if the limit allows it.
     void setLimit(std::uint32_t limit);
     /// Admits a request, queues it, or rejects it if its expected wait exceeds `expires_at`. Calls back before it
     /// returns unless the request is queued. @return a ticket for `cancel` if the request is queued, else 0.
     std::uint64_t enter(const QueueRequest& request, Callback callback);
     /// Removes a waiting request; its callback is not called.
     void cancel(std::uint64_t ticket);
-    /// An admitted request has ended. @param time that it held its slot; zero to leave the average as it is.
+    /// Call when an admitted request has ended. @param time for which the request held its slot; zero to leave the
+    /// average as it is.
     void leave(Duration time);
-    /// @return the expected wait of a request with this virtual deadline if it came now.
+    /// @return the expected wait of a request with this virtual deadline if the request arrived now.
     [[nodiscard]] Duration expectedWait(TimePoint virtual_deadline) const;
     [[nodiscard]] QueueLoad load() const;
     [[nodiscard]] Duration meanServiceTime() const { return mean_service_time_; }
--- a/src/relay/internal_route_detector.cc
+++ b/src/relay/internal_route_detector.cc
@@ -12,7 +12,8 @@
 constexpr double kMaxProbability = 1e-4;
 /// Lower counts are removed.
 constexpr double kMinCount = 0.5;
-/// Requests that classify a route as external; at least what classifies one that half of all hosts call as internal.
+/// Requests after which a route counts as external. With this many, a route that only half of all hosts call is already
+/// classified as internal.
 constexpr double kMinRequests = 14;
 
 }  // namespace
--- a/src/relay/internal_route_detector.h
+++ b/src/relay/internal_route_detector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Tells internal routes, which only instances call, from routes that external callers use.
+/// Distinguishes internal routes, which only instances call, from routes that external callers use.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 /// of all hosts, so a route whose requests enter only at the hosts of a few services is called by their instances.
 class InternalRouteDetector {
 public:
-    /// Share of all hosts that run an instance of the service, from 0 to 1.
+    /// Returns the share of all hosts that run an instance of the service, from 0 to 1.
     using HostShare = std::function<double(const std::string& service)>;
 
     InternalRouteDetector(Clock& clock, HostShare host_share) : clock_(clock), host_share_(std::move(host_share)) {}
@@ -24,7 +24,7 @@
     void onRequest(const std::string& route, const std::string& caller_service);
     /// @return true if callers spread over all hosts are very unlikely to cause the counts of this route.
     [[nodiscard]] bool isInternal(const std::string& route) const;
-    /// @return whether the route is internal; nothing while there are too few requests to tell.
+    /// @return whether the route is internal; nothing while there are too few requests to decide.
     [[nodiscard]] std::optional<bool> classify(const std::string& route) const;
 
 private:
--- a/src/relay/relay_message.h
+++ b/src/relay/relay_message.h
@@ -23,18 +23,18 @@
 /// A request that an entry node sends to a relay.
 struct RelayRequest {
     HttpRequest request;
-    std::string instance;        ///< Id of the only instance that may run it.
-    bool is_retry = false;       ///< It was sent to an instance before.
+    std::string instance;        ///< Id of the only instance that may run the request.
+    bool is_retry = false;       ///< The request was sent to an instance before.
     bool is_retry_paid = false;  ///< The retry budget of the relay where it failed has already granted the retry.
     RetryPolicy retry_policy = RetryPolicy::kNever;
-    bool is_counted = false;             ///< Another relay has already counted it for its retry budget.
+    bool is_counted = false;             ///< Another relay has already counted the request for its retry budget.
     bool is_suspect = false;             ///< An instance crashed while it ran this request.
     bool is_only_candidate = false;      ///< All relays of the service that the entry has a record of are stopping.
     bool is_last_candidate = false;      ///< The entry tries no further relay if this one rejects it.
     std::string route;                   ///< Name of the route in the table.
     std::uint32_t priority = 0;          ///< 0 is the most urgent.
-    TimePoint deadline{};                ///< Of the response of the instance.
-    Duration max_wait{};                 ///< In the queue; internal calls may wait longer.
+    TimePoint deadline{};                ///< Time by which the instance must have responded.
+    Duration max_wait{};                 ///< Longest wait in the queue; the relay raises it for internal calls.
     decision::CallContext call_context;  ///< Inherited from the run that makes this call.
 };
 
@@ -48,21 +48,21 @@
 /// Why a request was not run or has no response.
 enum class RelayReason {
     kNone,
-    kOtherInstance,  ///< The requested instance is no longer at this node.
-    kDraining,
-    kStopping,
-    kRetryBudget,
-    kQueueTooLong,
-    kQueueTimeout,
-    kDeadline,
-    kNotConnected,
-    kInstanceRefused,  ///< The instance declared that it did not run the request.
-    kNoCompleteResponse,
-    kRelayLost,        ///< The relay sent no response to the entry.
-    kInstanceCrashed,  ///< The instance crashed while it ran the request.
-    kSuspect,          ///< The request may crash instances, and could not be tried before its deadline.
-    kQuarantined,      ///< The request crashes the instances that run it.
-    kSuperseded,       ///< Another node uses the relay's address.
+    kOtherInstance,       ///< The requested instance is no longer at this node.
+    kDraining,            ///< The instance is draining or not ready.
+    kStopping,            ///< The relay is stopping.
+    kRetryBudget,         ///< The retry budget is exhausted.
+    kQueueTooLong,        ///< The expected wait in the queue was too long.
+    kQueueTimeout,        ///< The request expired in the queue.
+    kDeadline,            ///< Too little time was left before the deadline.
+    kNotConnected,        ///< No connection to the instance or to the relay could be opened.
+    kInstanceRefused,     ///< The instance declared that it did not run the request.
+    kNoCompleteResponse,  ///< The instance sent no complete, valid response.
+    kRelayLost,           ///< The relay sent no response to the entry.
+    kInstanceCrashed,     ///< The instance crashed while it ran the request.
+    kSuspect,             ///< The request may crash instances, and could not be tried before its deadline.
+    kQuarantined,         ///< The request crashes the instances that run it.
+    kSuperseded,          ///< Another node uses the relay's address.
 };
 /// @return the text of the reason in responses and logs.
 const char* reasonText(RelayReason reason);
@@ -77,9 +77,9 @@
     bool failed_downstream = false;  ///< The instance responded with a failure after one of its own calls failed.
     bool is_retry_paid = false;      ///< The relay's retry budget has granted a retry at another instance.
     HttpResponse response;           ///< Valid with kResponded.
-    QueueLoad load;                  ///< Of the instance; valid if `has_load`.
+    QueueLoad load;                  ///< Load of the instance; valid if `has_load`.
     bool has_load = false;
-    decision::RouteReport report;  ///< Of the request's route; valid if `has_load`.
+    decision::RouteReport report;  ///< Report about the request's route; valid if `has_load`.
 };
 
 }  // namespace dewcrank::relay
--- a/src/relay/relay_retries.cc
+++ b/src/relay/relay_retries.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Number of services that may call the same one and spend their slack at once without exceeding its slack. A relay
+/// Number of services that may call the same service and use their slack at once without exceeding its slack. A relay
 /// has no record of the actual number.
 constexpr double kMaxCallingServices = 2;
 
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-RelayRetries::RelayRetries(Clock& clock, const decision::CallGraph& graph, decision::RetryLimit bound)
-    : clock_(clock), graph_(graph), budget_(bound, clock.now()), relay_count_(bound.window, 1) {}
+RelayRetries::RelayRetries(Clock& clock, const decision::CallGraph& graph, decision::RetryLimit limit)
+    : clock_(clock), graph_(graph), budget_(limit, clock.now()), relay_count_(limit.window, 1) {}
 
 void RelayRetries::count(const RelayRequest& request) {
     if (request.is_counted) {
--- a/src/relay/relay_retries.h
+++ b/src/relay/relay_retries.h
@@ -18,18 +18,19 @@
 /// relay, plus this relay's part of a slack that all relays of the service share.
 class RelayRetries {
 public:
-    /// @param graph of the calls that the instance makes. @param bound limit of the whole service.
-    RelayRetries(Clock& clock, const decision::CallGraph& graph, decision::RetryLimit bound);
+    /// @param graph of the calls that the instance makes. @param limit retry limit of the whole service.
+    RelayRetries(Clock& clock, const decision::CallGraph& graph, decision::RetryLimit limit);
 
-    /// @param count of relays that accept requests of the service. The slack is divided by the maximum over the last
-    /// window, as relays that have gone or are stopping may have spent their parts.
+    /// @param count number of relays that accept requests of the service. The slack is divided by the maximum over the
+    /// last window, as relays that have gone or are stopping may have spent their parts.
     void setRelayCount(std::size_t count) { relay_count_.set(clock_.now(), count); }
-    /// Counts a request unless it is a retry or another relay has counted it, so that each counts once.
+    /// Counts a request unless it is a retry or another relay has counted it, so that each request counts once.
     void count(const RelayRequest& request);
-    /// @return whether the request is no retry, or a retry that was granted before or is granted now.
+    /// Takes a retry that was not granted before from the budget. @return false if the budget denies the retry; true
+    /// for every first attempt.
     bool mayRetry(const RelayRequest& request);
     /// Grants the retry of a request that failed here from the budget of this relay, so that one failing instance can
-    /// use all of its relay's budget. @return whether it is granted.
+    /// use all of its relay's budget. @return whether the retry is granted.
     bool payForRetry(const RelayRequest& request, const RelayResult& result);
 
     [[nodiscard]] const decision::RetryTotals& totals() const { return budget_.totals(); }
--- a/src/relay/relay_service.cc
+++ b/src/relay/relay_service.cc
@@ -135,8 +135,8 @@
 }
 
 /// Requests are admitted in order of the time until which they can wait, delayed by priority. Internal calls of call
-/// trees that have used a part of their time come first. Internal calls may wait for longer than requests of callers,
-/// as their rejection wastes the work already done for the call tree.
+/// trees that have used a part of their time are admitted first. Internal calls may wait for longer than requests of
+/// callers, as their rejection wastes the work already done for the call tree.
 QueueRequest RelayService::queueRequestFor(RelayRequest* request) {
     const auto now = clock_.now();
     const auto time_left = request->deadline - now;
@@ -373,12 +373,12 @@
     auto finished = calls_.extract(id);
     auto& call = *finished.mapped();
     runs_.onEnded(id);
-    const bool is_answered = result.outcome == RelayOutcome::kResponded;
-    onRunEnded(call, is_answered && isSuccess(result.response.status));
-    const auto time = is_answered ? clock_.now() - call.sent_at : Duration::zero();
-    if (is_answered) {
+    const bool has_response = result.outcome == RelayOutcome::kResponded;
+    onRunEnded(call, has_response && isSuccess(result.response.status));
+    const auto time = has_response ? clock_.now() - call.sent_at : Duration::zero();
+    if (has_response) {
         quarantine_.onCompleted(call.fingerprint);
-        demand_.onAnswered(call.request.route, time);
+        demand_.onResponse(call.request.route, time);
     }
     leaveQueues(id, call, time);
     result.is_retry_paid = retries_.payForRetry(call.request, result);
--- a/src/relay/relay_service.h
+++ b/src/relay/relay_service.h
@@ -1,5 +1,6 @@
 /// @file
-/// Access to the co-located instance: admission queue, retry budget, one attempt, validation of the response.
+/// Access to the co-located instance: admission queue, retry budget, one attempt per request, and validation of the
+/// response.
 #pragma once
 
 #include <sigc++/sigc++.h>
@@ -48,7 +49,7 @@
     decision::DemandKnobs demand;
     decision::CallGraphKnobs call_graph;
     std::uint32_t slots_per_free_slot = 16;     ///< One slot of this many is left free.
-    std::uint32_t min_slots_for_free_slot = 8;  ///< At least one slot is left free of an instance with this many.
+    std::uint32_t min_slots_for_free_slot = 8;  ///< An instance with at least this many slots has one left free.
     DisabledMechanisms disabled;                ///< Tests only.
 };
 
@@ -71,22 +72,22 @@
     CallId start(RelayRequest request, Callback callback);
     /// Cancels a call; its callback is not called.
     void cancel(CallId id);
-    /// @param path of the health endpoint of the instance.
+    /// @param path of the health endpoint of the instance, which the crash detector probes.
     void setProbePath(std::string path) { crash_detector_.setProbePath(std::move(path)); }
     /// Emitted after a crash of the instance with the requests that it was running.
     sigc::signal<void(const quarantine::CrashNotice&)>& signalCrashed() { return signal_crashed_; }
     /// Begins to drain: from now on only requests that no other relay can accept are admitted.
-    /// @param until deadline of their runs.
+    /// @param until latest deadline of the runs.
     void stop(TimePoint until) { stop_deadline_ = until; }
     /// Rejects all further requests.
     void close() { is_closed_ = true; }
-    /// @param view returns the current instances of the service; decides with them whether suspects may run here.
+    /// @param view returns the current instances of the service, from which the relay decides whether suspects may run.
     void setReplicaView(const std::function<fleet::Replicas()>& view);
-    /// An instance of the service at another node has crashed.
+    /// Call when an instance of the service at another node has crashed.
     void onRemoteCrash() { trials_.gate().onInstanceCrashed(); }
-    /// @param count of relays that accept requests of the service.
+    /// @param count number of relays that accept requests of the service.
     void setRelayCount(std::size_t count) { retries_.setRelayCount(count); }
-    /// Calls that are queued or running.
+    /// @return the number of calls that are queued or running.
     [[nodiscard]] std::size_t inFlight() const { return calls_.size(); }
     [[nodiscard]] QueueLoad load() const { return queue_.load(); }
     [[nodiscard]] const decision::RetryTotals& retryTotals() const { return retries_.totals(); }
@@ -95,24 +96,24 @@
     [[nodiscard]] std::uint64_t countedElsewhere() const { return retries_.countedElsewhere(); }
     /// Number of relays by which the slack of the retry budget is divided.
     [[nodiscard]] std::size_t retryRelayCount() { return retries_.relayCount(); }
-    /// Demand for the instance and its capacity, in slots; empty while the instance is not ready.
+    /// @return the demand for the instance and its capacity, in slots; all zero while the instance is not ready.
     [[nodiscard]] decision::ServiceLoad serviceLoad();
-    /// Learned calls that the instance makes, by the routes that it serves.
+    /// @return the learned calls that the instance makes, by the routes that it serves.
     [[nodiscard]] decision::CallGraph& callGraph() { return call_graph_; }
 
 private:
     /// A request from its start until its result.
     struct Call {
-        RelayRequest request;     ///< Without its HTTP request once that is sent.
+        RelayRequest request;     ///< Without its HTTP request once that was sent.
         std::string request_id;   ///< From the HTTP request.
-        std::string incarnation;  ///< Name of the incarnation to which it was sent.
+        std::string incarnation;  ///< Name of the incarnation to which the request was sent.
         quarantine::Fingerprint fingerprint = 0;
         Callback callback;
-        std::uint64_t ticket = 0;  ///< In the queue; 0 if it does not wait there.
-        bool is_trial = false;     ///< It is the one suspect that may run.
-        bool is_admitted = false;  ///< It holds a slot of the instance.
+        std::uint64_t ticket = 0;  ///< Ticket in the queue; 0 if the call does not wait there.
+        bool is_trial = false;     ///< The request is the one suspect that may run.
+        bool is_admitted = false;  ///< The call holds a slot of the instance.
         TimePoint sent_at{};
-        decision::CallGraph::RunId run = 0;  ///< 0 before it is sent.
+        decision::CallGraph::RunId run = 0;  ///< 0 before the request is sent.
         AttemptHandle attempt;
         TimerHandle rejection_timer;  ///< Delivers a rejection from the event loop.
     };
--- a/src/relay/relay_wire.h
+++ b/src/relay/relay_wire.h
@@ -14,9 +14,9 @@
 /// Prefix of the headers between nodes; headers of callers with this prefix are removed.
 inline constexpr std::string_view kRelayHeaderPrefix = "dewcrank-relay-";
 
-/// Sender of a relayed message, and the table that it uses.
+/// Sender of a relayed message, and the route table that the sender uses.
 struct RelayPeer {
-    std::string name;  ///< Of the node.
+    std::string name;  ///< Name of the node.
     std::uint64_t table_version = 0;
     std::optional<Duration> table_age{};  ///< Time since the table was confirmed as the newest; in responses only.
 };
@@ -33,12 +33,14 @@
     RelayResult result;
 };
 
-/// @param now time from which the deadline is sent as a remaining duration.
+/// Adds the relay header to the request. @param now time from which the deadline is sent as a remaining duration.
 HttpRequest toHttp(RelayRequest request, const RelayPeer& sender, TimePoint now);
-/// @return nothing if the request has no relay header.
+/// Parses and removes the relay header. @return nothing if the request has no relay header.
 std::optional<ReceivedRequest> fromHttp(HttpRequest request, TimePoint now);
+/// Adds the relay header to the response. The status is 200 if the result holds no response of the instance.
 HttpResponse toHttp(RelayResult result, const RelayPeer& sender);
-/// @return outcome kUnknown and reason kRelayLost if the response has no relay header.
+/// Parses and removes the relay header. @return outcome kUnknown and reason kRelayLost if the response has no relay
+/// header.
 ReceivedResult fromHttp(HttpResponse response);
 
 }  // namespace dewcrank::relay
--- a/src/relay/response_kind.h
+++ b/src/relay/response_kind.h
@@ -17,8 +17,10 @@
     kInvalid,      ///< Not a valid response to this request: it may have run.
 };
 
+/// Classifies the response of an instance by its status and headers.
 /// @param request id of the request, which a successful response repeats.
 /// @param accepts_unsigned tests only: accepts a success without the server stamp of the instance.
+/// @return what the response proves.
 [[nodiscard]] ResponseKind classifyResponse(const HttpResponse& response, const std::string& request,
                                             const HeaderNames& names, bool accepts_unsigned);
 
--- a/src/relay/suspect_trials.h
+++ b/src/relay/suspect_trials.h
@@ -12,8 +12,8 @@
 
 namespace dewcrank::relay {
 
-/// Runs at most one suspect at a time, and only while the gate allows that an instance is put at risk. Other requests
-/// do not pass through it. Suspects are identified by the ids of their calls.
+/// Runs at most one suspect at a time, and only while the trial gate allows that an instance is put at risk. Other
+/// requests do not pass through this class. Suspects are identified by the ids of their calls.
 class SuspectTrials {
 public:
     using CallId = std::uint64_t;
@@ -22,10 +22,11 @@
 
     SuspectTrials(Clock& clock, QueueKnobs queue, quarantine::TrialGateKnobs gate);
 
-    /// Queues a suspect. @param expires_at time at which it is rejected, or earlier if it cannot run before then.
+    /// Queues a suspect. @param expires_at latest start of the run; the suspect is rejected as soon as it is known that
+    /// it cannot start by then.
     void enter(CallId id, TimePoint expires_at, Callback callback);
     /// The suspect has completed, was rejected or was cancelled: the next one may run. Ignores ids of other requests.
-    /// @param time of its run; zero to leave the average run time as it is.
+    /// @param time duration of the suspect's run; zero to leave the average run time as it is.
     void end(CallId id, Duration time);
     [[nodiscard]] quarantine::TrialGate& gate() { return gate_; }
 
@@ -33,9 +34,9 @@
     struct Trial {
         TimePoint expires_at{};
         Callback callback;
-        std::uint64_t ticket = 0;  ///< In the queue; 0 if it does not wait there.
-        bool has_slot = false;     ///< It holds the only slot; the gate may still delay it.
-        TimerHandle timer;         ///< Until the gate is checked again.
+        std::uint64_t ticket = 0;  ///< Ticket in the queue; 0 if the suspect does not wait there.
+        bool has_slot = false;     ///< The suspect holds the only slot; the gate may still delay the run.
+        TimerHandle timer;         ///< Runs until the gate is checked again.
     };
     void onQueueDecision(CallId id, InstanceQueue::Decision decision);
     void checkGate(CallId id);
--- a/tests/unit/decision/instance_demand_test.cc
+++ b/tests/unit/decision/instance_demand_test.cc
@@ -22,7 +22,7 @@
 
 decision::ServiceLoad loadOf(const DemandCase& entry, TimePoint* now) {
     decision::InstanceDemand demand{{}};
-    demand.onAnswered("r", kTime);
+    demand.onResponse("r", kTime);
     const auto end = *now + 3s;
     const Duration pause = Duration(1s) / entry.per_second;
     for (; *now < end; *now += pause) {
@@ -59,7 +59,7 @@
 BOOST_AUTO_TEST_CASE(the_ratio_follows_a_load_step_within_a_second) {
     TimePoint now(100s);
     decision::InstanceDemand demand{{}};
-    demand.onAnswered("r", kTime);
+    demand.onResponse("r", kTime);
     demand.onRunning(now, kLimit);
     const auto feed = [&](int per_second, Duration time) {
         const auto end = now + time;
