--- a/src/adapters/sidecar_metrics.cc
+++ b/src/adapters/sidecar_metrics.cc
@@ -13,7 +13,7 @@
     switch (end) {
         case entry::EntryEnd::kResponded:
             return "answered";
-        case entry::EntryEnd::kRefused:
+        case entry::EntryEnd::kRejected:
             return "refused";
         case entry::EntryEnd::kUnknown:
             return "unknown";
--- a/src/entry/entry_call.cc
+++ b/src/entry/entry_call.cc
@@ -305,7 +305,7 @@
         response.headers.set("Retry-After", secondsText(retryAfter()));
     }
     logFailed(reason, response.status);
-    finish(std::move(response), may_have_run_ ? EntryEnd::kUnknown : EntryEnd::kRefused, reason);
+    finish(std::move(response), may_have_run_ ? EntryEnd::kUnknown : EntryEnd::kRejected, reason);
 }
 
 void EntryCall::logFailed(const char* reason, int status) const {
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -201,7 +201,7 @@
     }
     reply(std::move(response));
     signal_call_ended_.emit(
-        {entry::EntryEnd::kRefused, route, "none", rejection.reason, Duration::zero(), rejection.status});
+        {entry::EntryEnd::kRejected, route, "none", rejection.reason, Duration::zero(), rejection.status});
 }
 
 void SidecarNode::beginCall(CallId call_id, HttpRequest request, const entry::Admitted& admitted,
@@ -240,7 +240,7 @@
     plan.route = route;
     plan.priority = route->priority();
     plan.rank = policy::rankOf(*route, tenant);
-    plan.caller_deadline = requested_time;
+    plan.caller_timeout = requested_time;
     plan.service = selectService(*route);
     plan.deadline =
         ports_.clock.now() + (route->timeout_ms() == 0 ? requested_time : std::min(requested_time, max_time));
@@ -265,9 +265,9 @@
 bool SidecarNode::admit(entry::EntryPlan* plan) {
     const auto now = ports_.clock.now();
     const auto& route = plan->route->name();
-    const bool is_client_retry = deadlines_.isShortened(now, route, plan->caller_deadline);
+    const bool is_client_retry = deadlines_.isShortened(now, route, plan->caller_timeout);
     if (bottlenecks_.isInternal(route)) {
-        plan->call_context = relay_.callGraph().onCall(now, route, plan->caller_deadline);
+        plan->call_context = relay_.callGraph().onCall(now, route, plan->caller_timeout);
         return true;
     }
     const auto bottleneck = bottlenecks_.bottleneckOf(now, route);
@@ -314,7 +314,7 @@
     if (!isSuccess(report.status) && bottlenecks_.isInternal(report.route)) {
         relay_.callGraph().onCallFailed(ports_.clock.now());
     }
-    if (const auto spent = spent_tokens_.extract(call_id); !spent.empty() && report.end == entry::EntryEnd::kRefused) {
+    if (const auto spent = spent_tokens_.extract(call_id); !spent.empty() && report.end == entry::EntryEnd::kRejected) {
         quota_.returnToken(spent.mapped().tenant, spent.mapped().token);
     }
     auto ended = calls_.extract(call_id);
