--- a/src/entry/entry_call.h
+++ b/src/entry/entry_call.h
@@ -51,7 +51,7 @@
     std::uint32_t priority = 0;          ///< Priority of the route; 0 is the most urgent.
     std::uint32_t rank = 0;              ///< Order of admission, from `policy::rankOf`; 0 is rejected last.
     TimePoint deadline{};                ///< The caller receives its response by this time.
-    Duration caller_timeout{};          ///< Timeout that the caller sent, or else that of the route.
+    Duration caller_timeout{};           ///< Timeout that the caller sent, or else that of the route.
     decision::CallContext call_context;  ///< Inherited from the run that makes this call.
 };
 
@@ -80,7 +80,7 @@
 /// Outcome of a call at its entry.
 enum class EntryEnd {
     kResponded,  ///< The caller has the response of an instance.
-    kRejected,    ///< The request provably did not run.
+    kRejected,   ///< The request provably did not run.
     kUnknown     ///< The request may have run; there is no complete response.
 };
 
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -250,7 +250,7 @@
 
 /// Next service by the weights of the route's parts; another part if that service has no known instance.
 std::string SidecarNode::selectService(const wire::Route& route) {
-    const auto found = dividers_.try_emplace(route.name(), ports_.random.unit()).first;
+    const auto found = splitters_.try_emplace(route.name(), ports_.random.unit()).first;
     auto service = route.parts(static_cast<int>(found->second.next(route))).service();
     if (selector_.hasRelay(service)) {
         return service;
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -153,7 +153,7 @@
     entry::CallIntake intake_;
     LoadLogger load_logger_;
     decision::UsualDeadlines deadlines_;
-    std::map<std::string, policy::TrafficSplitter> dividers_;  ///< By route name.
+    std::map<std::string, policy::TrafficSplitter> splitters_;  ///< By route name.
     CallId last_call_id_ = 0;
     std::map<CallId, std::unique_ptr<entry::EntryCall>> calls_;
     /// Quota token of a call in calls_.
