--- a/apps/ctl/commands.cc
+++ b/apps/ctl/commands.cc
@@ -64,7 +64,8 @@
     return code;
 }
 
-/// Polls the nodes until all of them apply `version` or the wait time has passed; prints which do not.
+/// Polls the nodes until all of them apply `version` or the wait time has passed; prints the nodes that do not.
+/// @return kExitOk or kExitNotApplied.
 int waitUntilApplied(BlockingClient& client, std::uint64_t version, const CommandLine& command) {
     const auto started = client.now();
     std::set<std::string> pending(command.nodes.begin(), command.nodes.end());
@@ -132,7 +133,7 @@
     return kExitUnknown;
 }
 
-/// Reads the table, applies `edit`, checks the result and saves it as the next version.
+/// Reads the table, applies `edit`, checks the result and saves it as the next version. @return the exit code.
 int editTable(BlockingClient& client, const Edit& edit, const CommandLine& command) {
     StoredTable stored;
     const bool is_read = succeeds([&]() -> Result<void> {
--- a/apps/ctl/retry_report.h
+++ b/apps/ctl/retry_report.h
@@ -11,8 +11,8 @@
 
 /// Counts of one node or of several, over some time.
 struct RetryCounts {
-    double requests = 0;  ///< First attempts, calls of retried requests included.
-    double retries = 0;   ///< Admitted retries, and calls of retried requests, which count as retries.
+    double requests = 0;  ///< First attempts, including those of calls made for a retried request.
+    double retries = 0;   ///< Admitted retries, and calls made for a retried request, which count as retries.
     double denied = 0;    ///< Retries that the budget did not admit.
 };
 
--- a/apps/ctl/run.cc
+++ b/apps/ctl/run.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// `explain`, the id of a request and one log file.
+/// Arguments of the shortest `explain` command: its name, the id of a request and one log file.
 constexpr std::size_t kMinExplainArgs = 3;
 
 cxxopts::Options makeOptions() {
@@ -67,7 +67,7 @@
 
 constexpr LogCommand kLogCommands[] = {{"crashes", &reportCrashes}, {"repeats", &reportRetries}};
 
-/// @return null if the first argument is not a log command.
+/// @return the log command that the first argument names; null if there is none.
 const LogCommand* findLogCommand(const std::vector<std::string>& args) {
     const auto* found = std::find_if(std::begin(kLogCommands), std::end(kLogCommands),
                                      [&](const LogCommand& it) { return !args.empty() && args[0] == it.name; });
--- a/apps/sidecar/sidecar_daemon.cc
+++ b/apps/sidecar/sidecar_daemon.cc
@@ -192,16 +192,16 @@
 }
 
 void SidecarDaemon::onMetricsRequest(const Exchange& exchange) {
-    adapters::AdapterStats figures;
-    figures.caller_connections = callers_.openConnections();
-    figures.instance_connections = instances_.openConnections();
-    figures.instance_connections_total = instances_.totalConnections();
-    figures.heartbeats_rejected = rejected_heartbeats_;
-    figures.log_lines_dropped = adapters::ProcessLog::droppedLines();
+    adapters::AdapterStats stats;
+    stats.caller_connections = callers_.openConnections();
+    stats.instance_connections = instances_.openConnections();
+    stats.instance_connections_total = instances_.totalConnections();
+    stats.heartbeats_rejected = rejected_heartbeats_;
+    stats.log_lines_dropped = adapters::ProcessLog::droppedLines();
     HttpResponse response;
     response.status = kHttpOk;
     response.headers.set("Content-Type", "text/plain; version=0.0.4");
-    response.body = metrics_.text(node_, figures);
+    response.body = metrics_.text(node_, stats);
     exchange->reply(response);
 }
 
--- a/apps/sidecar/sidecar_daemon.h
+++ b/apps/sidecar/sidecar_daemon.h
@@ -30,6 +30,13 @@
 using PlatformFactory = std::function<PlatformParts(HttpTransport& http, const adapters::SidecarSettings& settings)>;
 
 /// Owns the node and everything that connects it to the operating system.
+///
+/// Log events:
+///   node_started        the process listens and the node starts
+///   node_stopped        the event loop has ended; the process exits
+///   settings_read       the settings file was read again and is valid; `changed` shows whether it differs
+///   settings_refused    the settings file was read again and is invalid
+///   heartbeat_refused   the response to a request of the local instance was 400
 class SidecarDaemon : private InstanceListener {
 public:
     /// @param settings_file path that is read again on SIGHUP.
--- a/src/adapters/event_loop.cc
+++ b/src/adapters/event_loop.cc
@@ -61,7 +61,7 @@
     [[nodiscard]] LoopTimer* next() const { return next_; }
 
 private:
-    /// The callback may destroy this timer, so it is moved out first.
+    /// The callback may destroy this timer, so the callback is moved out first.
     static void onFired(evutil_socket_t, short, void* self) {
         auto* it = static_cast<LoopTimer*>(self);
         it->unlink();
--- a/src/adapters/http_client.h
+++ b/src/adapters/http_client.h
@@ -40,7 +40,7 @@
 
     [[nodiscard]] AttemptHandle send(const std::string& address, HttpRequest request, Duration timeout,
                                      Callback callback) override;
-    /// Connections that exist now, idle ones included.
+    /// Number of connections that exist now, idle ones included.
     [[nodiscard]] std::size_t openConnections() const { return open_connections_; }
     /// Number of connections opened since construction, failed attempts included.
     [[nodiscard]] std::uint64_t totalConnections() const { return total_connections_; }
--- a/src/base/disabled_mechanisms.h
+++ b/src/base/disabled_mechanisms.h
@@ -5,10 +5,10 @@
 
 namespace dewcrank {
 
-/// Each member that is true disables one mechanism.
+/// Each member that is true disables one mechanism; its comment says what the fleet then does.
 struct DisabledMechanisms {
-    bool idempotency_check = false;         ///< Retries requests that may have run, even if not idempotent.
-    bool not_executed_check = false;        ///< Responds 503 even if the request may have been executed.
+    bool idempotency_check = false;         ///< Entries retry requests that may have run, even if not idempotent.
+    bool not_executed_check = false;        ///< Entries respond 503 even if the request may have run.
     bool drain_check = false;               ///< Relays forward to a draining instance.
     bool caller_cancellation = false;       ///< Calls continue after their caller has disconnected.
     bool response_signature_check = false;  ///< Relays accept responses without the instance's signature.
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -13,7 +13,7 @@
 using std::chrono_literals::operator""s;
 using std::chrono_literals::operator""us;
 
-/// Whole milliseconds, rounded toward zero.
+/// @return whole milliseconds, rounded toward zero.
 inline std::int64_t toMilliseconds(Duration duration) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
@@ -22,7 +22,7 @@
     return std::chrono::duration<double>(duration).count();
 }
 
-/// Whole microseconds, rounded toward zero.
+/// @return whole microseconds, rounded toward zero.
 inline Duration fromSeconds(double seconds) {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
--- a/src/fleet/failure_detector.h
+++ b/src/fleet/failure_detector.h
@@ -22,7 +22,7 @@
 struct FailureDetectorKnobs {
     Duration max_silence = 300ms;           ///< A node with calls in flight is probed after this long without contact.
     Duration probe_timeout = 300ms;         ///< A probe without a response by then has failed.
-    Duration min_reprobe_interval = 250ms;  ///< Delay before a suspected node is probed; doubles with each failure.
+    Duration min_reprobe_interval = 250ms;  ///< Delay before a suspected node is probed again; doubles per failure.
     Duration max_reprobe_interval = 2s;     ///< Upper bound of that delay.
 };
 
--- a/src/fleet/gossip.cc
+++ b/src/fleet/gossip.cc
@@ -51,7 +51,8 @@
            Duration(static_cast<std::int64_t>(random_.below(static_cast<std::uint64_t>(interval.count()))));
 }
 
-/// Suspected nodes are included, so that a node that is back receives what it has missed.
+/// Starts an exchange with a random node. Suspected nodes are included, so that a node that responds again receives
+/// the changes that it has missed.
 void Gossip::tick() {
     if (directory_.otherCount() > 0) {
         exchangeWith(directory_.other(random_.below(directory_.otherCount())).record.name());
@@ -59,7 +60,7 @@
     scheduleNext();
 }
 
-/// Distinct nodes that are not suspected; fewer than `limit` if the draws run out.
+/// @return names of random nodes that are not suspected, each once; fewer than `limit` if the draws run out.
 std::vector<std::string> Gossip::randomNodes(std::size_t limit) {
     std::set<std::string> names;
     for (std::size_t tries = limit * kTriesPerNode; tries > 0 && names.size() < limit; --tries) {
@@ -247,11 +248,11 @@
     request.path = std::string(kGossipPath);
     request.headers.set("Content-Type", "application/x-protobuf");
     request.body = message.SerializeAsString();
-    const auto number = ++last_attempt_id_;
-    in_flight_[number] =
+    const auto attempt_id = ++last_attempt_id_;
+    in_flight_[attempt_id] =
         nodes_.send(address, std::move(request), timeout,
-                    [this, number, name, sent = clock_.now(), done = std::move(done)](const AttemptResult& result) {
-                        const auto ended = in_flight_.extract(number);
+                    [this, attempt_id, name, sent = clock_.now(), done = std::move(done)](const AttemptResult& result) {
+                        const auto ended = in_flight_.extract(attempt_id);
                         onResponse(name, sent, result, done);
                     });
 }
@@ -289,12 +290,12 @@
 
 /// Probes the shared address: the node that responds keeps it, the other one is superseded.
 void Gossip::resolveAddressConflict(const std::string& previous, const std::string& claimant) {
-    probe(previous, knobs_.timeout, [this, previous, claimant](bool is_previous_there) {
+    probe(previous, knobs_.timeout, [this, previous, claimant](bool has_previous_responded) {
         const auto* first = directory_.find(previous);
         const auto* second = directory_.find(claimant);
         const bool is_shared =
             first != nullptr && second != nullptr && first->record.address() == second->record.address();
-        if (is_previous_there && is_shared) {
+        if (has_previous_responded && is_shared) {
             directory_.onSuperseded(claimant);
         }
     });
--- a/src/fleet/gossip.h
+++ b/src/fleet/gossip.h
@@ -28,19 +28,20 @@
 
 struct GossipKnobs {
     Duration interval = 700ms;           ///< Mean time between two anti-entropy exchanges.
-    Duration timeout = 600ms;            ///< Of a message that expects a response.
+    Duration timeout = 600ms;            ///< Timeout of a message that expects a response.
     RumorKnobs rumors;                   ///< When a rumor is dropped.
     Duration rumor_interval = 100ms;     ///< Mean time between two rounds while rumors are queued.
-    std::size_t rumor_fanout = 2;        ///< Receivers of a round.
-    std::size_t table_fanout = 3;        ///< Receivers of the version of a new table, ahead of its first round.
-    std::size_t self_change_fanout = 8;  ///< Receivers of the first round after a change of this node's own record.
-    std::size_t max_records = 64;        ///< Records in a rumor message.
-    std::size_t initial_exchanges = 4;   ///< Random nodes that a starting node exchanges directories with.
+    std::size_t rumor_fanout = 2;        ///< Number of receivers of a round.
+    std::size_t table_fanout = 3;        ///< Number of receivers of a new table's version, ahead of its first round.
+    std::size_t self_change_fanout = 8;  ///< Number of receivers of the first round after a change of the own record.
+    std::size_t max_records = 64;        ///< Maximum number of records in a rumor message.
+    std::size_t initial_exchanges = 4;   ///< Number of random nodes that a starting node exchanges directories with.
     std::size_t max_table_requests = 3;  ///< Concurrent requests for the table, which is large; a node may be down.
     DisabledMechanisms disabled;         ///< Tests only.
 };
 
-/// Gossip protocol of one node: sends and receives `wire::Gossip`, and merges it into the directory, table and lease.
+/// Gossip protocol of one node: sends and receives `wire::Gossip`, and merges it into the directory, the table and the
+/// table's lease.
 ///
 /// Log events:
 ///   node_displaced   a node has responded at the address of another one, `peer`
@@ -59,6 +60,7 @@
     /// Spreads this node's own record, and exchanges directories with `initial_exchanges` random nodes.
     void announceSelf();
     /// Sends an empty message to random nodes, whose responses report the age of their tables.
+    /// @param nodes number of nodes.
     void requestTableAge(std::size_t nodes);
     /// Contacts whatever node listens at an address, and starts an exchange with it.
     /// @param done called once: true if a node other than this one has responded in time.
@@ -110,15 +112,14 @@
     policy::RouteTable& table_;
     policy::TableLease& lease_;
     GossipKnobs knobs_;
-    std::set<std::string> exchanging_;  ///< Nodes with an exchange in progress.
-    std::set<std::string>
-        table_requests_;  ///< Those of them that were asked for the table; at most max_table_requests.
+    std::set<std::string> exchanging_;      ///< Nodes with an exchange in progress.
+    std::set<std::string> table_requests_;  ///< Nodes with a request for the table; at most max_table_requests.
     std::map<std::uint64_t, AttemptHandle> in_flight_;  ///< Messages without a response yet, by attempt id.
     std::uint64_t last_attempt_id_ = 0;
     RumorQueue rumors_;
-    std::uint64_t store_era_ = 0;  ///< The greatest known; 0 if none.
+    std::uint64_t store_era_ = 0;  ///< The greatest known era of the store; 0 if none is known.
     sigc::signal<void()> signal_store_restored_;
-    std::size_t next_fanout_ = 0;  ///< Receivers of the next rumor round; 0 while none is scheduled.
+    std::size_t next_fanout_ = 0;  ///< Number of receivers of the next rumor round; 0 while none is scheduled.
     TimerHandle tick_timer_;
     TimerHandle rumor_timer_;
 };
--- a/src/fleet/node_directory.cc
+++ b/src/fleet/node_directory.cc
@@ -129,8 +129,8 @@
     signal_self_changed_.emit();
 }
 
-/// Handles a record whose address belongs to another node as well. Only one of them can be there, and the records do
-/// not show which, as incarnations of different nodes are not comparable. This node's own address is not contested.
+/// Records the node as claimant of its address. Only one of two nodes with the same address can exist, and the records
+/// do not show which, as incarnations of different nodes are not comparable. This node keeps its own address.
 void NodeDirectory::claimAddress(const wire::NodeRecord& record) {
     if (record.address().empty()) {
         return;
@@ -139,8 +139,8 @@
         findOrAdd(record.name()).is_superseded = true;
         return;
     }
-    auto& holder = claimant_by_address_[record.address()];
-    const auto previous = std::exchange(holder, record.name());
+    auto& claimant = claimant_by_address_[record.address()];
+    const auto previous = std::exchange(claimant, record.name());
     if (!previous.empty() && previous != record.name()) {
         signal_address_conflict_.emit(previous, record.name());
     }
--- a/src/fleet/node_directory.h
+++ b/src/fleet/node_directory.h
@@ -20,7 +20,7 @@
 struct KnownNode {
     std::size_t ordinal = 0;          ///< From 1 in order of discovery; indexes tables of other parts.
     wire::NodeRecord record;          ///< Only name, zone and address until the node's own record arrives.
-    TimePoint received{};             ///< Arrival of the record; its cold time runs from then.
+    TimePoint received{};             ///< Arrival of the record; the warm-up time in the record counts from then.
     std::uint64_t table_version = 0;  ///< Newest route table that the node is known to have.
     TimePoint last_contact{};         ///< Last response or message from the node.
     std::uint32_t failures = 0;       ///< Failed contacts since the last successful one; suspected if over 0.
@@ -80,7 +80,7 @@
     [[nodiscard]] static bool isSuspected(const KnownNode& node) { return node.failures > 0; }
     /// False if the node is suspected or superseded at its address.
     [[nodiscard]] static bool isReachable(const KnownNode& node) { return !isSuspected(node) && !node.is_superseded; }
-    /// Remaining cold time of the node's instance; zero if it is warm.
+    /// Remaining warm-up time of the node's instance; zero if the instance is warmed up.
     [[nodiscard]] static Duration coldLeft(const KnownNode& node, TimePoint now);
 
     /// The node has responded at its address: it is neither suspected nor superseded.
@@ -94,11 +94,12 @@
     /// Records the table version of a node; an older one is ignored.
     void onTableVersion(const std::string& name, std::uint64_t version);
 
-    /// Comparison with a digest.
+    /// Result of a comparison with another node's digest.
     struct Difference {
         std::vector<wire::NodeRecord> newer;  ///< Records that are newer here, or missing from the digest.
         std::vector<std::string> older;       ///< Names of the nodes whose records are older here, or missing.
     };
+    /// Compares the records here with a digest.
     [[nodiscard]] Difference differenceTo(const std::vector<wire::RecordVersion>& digest) const;
     /// The versions of all records, this node's included.
     [[nodiscard]] std::vector<wire::RecordVersion> digest() const;
--- a/src/fleet/rumor_queue.h
+++ b/src/fleet/rumor_queue.h
@@ -14,7 +14,7 @@
 
 struct RumorKnobs {
     std::uint32_t max_already_known = 2;  ///< A rumor is dropped when this many receivers already had it.
-    std::uint32_t max_sends = 16;         ///< Or when it was sent this often, whether or not receivers respond.
+    std::uint32_t max_sends = 16;         ///< A rumor is also dropped after this many sends, with or without responses.
 };
 
 /// Names of the records that have changed lately, each with its counters.
--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -102,7 +102,7 @@
     auto& pending = pending_.at(id);
     const auto now = clock_.now();
     const auto& tenant = tenants_[pending.tenant];
-    if (pending.owners_asked < knobs_.max_owners) {
+    if (pending.owners_tried < knobs_.max_owners) {
         for (const auto shard_index : shardOrder(pending.untried_shards)) {
             auto& shard = shards_[shard_index];
             const bool is_available = shard.unavailable_until <= now && tenant.denied_until[shard_index] <= now;
@@ -110,7 +110,7 @@
                 continue;
             }
             pending.untried_shards &= ~(1U << shard_index);
-            ++pending.owners_asked;
+            ++pending.owners_tried;
             shard.queued[pending.tenant].push_back(id);
             sendQueued(shard_index);
             return;
@@ -259,7 +259,7 @@
         }
     }
     for (; left > 0; --left) {
-        returnToken(line.tenant(), result.token);  // Its request was cancelled meanwhile.
+        returnToken(line.tenant(), result.token);  // The request for this token was cancelled meanwhile.
     }
     if (line.next_ms() > 0) {
         tenants_[line.tenant()].denied_until[shard_index] = clock_.now() + std::chrono::milliseconds(line.next_ms());
@@ -273,7 +273,7 @@
 
 // Grants --------------------------------------------------------------------
 
-/// Asks the previous owner of a shard to stop granting. If it does not respond, its lease has to expire first.
+/// Requests that the previous owner of a shard stops granting. If that node does not respond, its lease has to expire.
 void QuotaClient::requestTakeover(std::uint32_t shard_index, const std::string& previous_owner) {
     const auto* node = directory_.find(previous_owner);
     if (node == nullptr || !fleet::NodeDirectory::isReachable(*node)) {
--- a/src/quota/quota_client.h
+++ b/src/quota/quota_client.h
@@ -25,12 +25,12 @@
 inline constexpr std::string_view kQuotaPath = "/fleet/quota";
 
 struct QuotaClientKnobs {
-    Duration request_timeout = 150ms;  ///< Of a token request to an owner.
+    Duration request_timeout = 150ms;  ///< Timeout of a token request to an owner.
     Duration owner_backoff = 500ms;    ///< No requests to a shard for this long after one to its owner has failed.
-    /// Shards tried per request; a tenant below its limit may still find one of its shards empty.
+    /// Maximum number of shard owners tried per request; one shard may be empty while the tenant is below its limit.
     std::uint32_t max_owners = 3;
     Duration return_delay = 100ms;  ///< Unused tokens are returned with the next token request, or after this.
-    Duration min_retry_after = 1s;  ///< Retry-After of a request over its tenant's limit.
+    Duration min_retry_after = 1s;  ///< Retry-After of the rejection of a request over its tenant's limit.
     DisabledMechanisms disabled;    ///< Tests only.
 };
 
@@ -93,7 +93,7 @@
         std::string tenant;
         Callback callback;
         std::uint32_t untried_shards = 0;  ///< Bit set of the tenant's shards.
-        std::uint32_t owners_asked = 0;
+        std::uint32_t owners_tried = 0;
         bool was_denied = false;  ///< A shard had no token.
     };
     struct Tenant {
@@ -112,14 +112,14 @@
     };
     [[nodiscard]] const wire::NodeRecord* ownerOf(std::uint32_t shard) const;
     [[nodiscard]] std::vector<std::uint32_t> shardOrder(std::uint32_t shards);
-    void requestTakeover(std::uint32_t shard, const std::string& previous_owner);
+    void requestTakeover(std::uint32_t shard_index, const std::string& previous_owner);
     void enqueue(RequestId id);
-    void sendQueued(std::uint32_t shard);
-    void sendToOwner(std::uint32_t shard, const wire::NodeRecord& owner, const wire::QuotaAsk& quota_request);
-    [[nodiscard]] wire::QuotaAsk makeRequest(std::uint32_t shard);
+    void sendQueued(std::uint32_t shard_index);
+    void sendToOwner(std::uint32_t shard_index, const wire::NodeRecord& owner, const wire::QuotaAsk& quota_request);
+    [[nodiscard]] wire::QuotaAsk makeRequest(std::uint32_t shard_index);
     wire::QuotaGrant grantTokens(const wire::QuotaAsk& quota_request);
-    void onResponse(std::uint32_t shard, const wire::QuotaGrant* response);
-    void onGrant(std::uint32_t shard, std::uint64_t term, const wire::QuotaGrant::Line& line,
+    void onResponse(std::uint32_t shard_index, const wire::QuotaGrant* response);
+    void onGrant(std::uint32_t shard_index, std::uint64_t term, const wire::QuotaGrant::Line& line,
                  std::vector<RequestId>* ids);
     void complete(RequestId id, const TokenResult& result);
     void fail(RequestId id);
--- a/src/quota/shard_lease_manager.h
+++ b/src/quota/shard_lease_manager.h
@@ -38,9 +38,9 @@
 /// store's conditional write decides.
 ///
 /// Log events:
-///   quota_shard_owned   this node has become the owner, and grants tokens after `from_ms`
+///   quota_shard_owned   this node has become the owner, and starts to grant tokens in `from_ms` milliseconds
 ///   quota_shard_lost    it is no longer the owner; `peer` is the new holder in the store (empty: none), `by-takeover`
-///                       (a new owner has asked this node to stop) or `store-returned` (the store was restored)
+///                       (a new owner has requested that this node stops) or `store-returned` (the store was restored)
 ///   store_failed        a read of the leases has failed (`step=leases`)
 class ShardLeaseManager {
 public:
@@ -50,7 +50,7 @@
     /// Starts the periodic check.
     void start();
     /// Emitted with a shard and its previous owner's name when this node has become the owner and the previous owner's
-    /// lease may not have expired. The receiver may ask that node to stop, which shortens the wait.
+    /// lease may not have expired. The receiver may request that the previous owner stops, which shortens the wait.
     sigc::signal<void(std::uint32_t, const std::string&)>& signalTakeover() { return signal_takeover_; }
     /// The previous owner has confirmed that it no longer grants tokens of the shard.
     /// @param incarnation of the responding process; one before the incarnation in the lease is ignored.
@@ -73,7 +73,7 @@
         ShardLease lease;
         std::string previous_owner;  ///< Holder of the lease when this node claimed it; empty if none.
         std::uint64_t previous_incarnation = 0;
-        std::optional<TimePoint> previous_end;  ///< Known upper bound of its last grant.
+        std::optional<TimePoint> previous_end;  ///< Time after which the previous owner has granted no token, if known.
         std::uint64_t revision = 0;             ///< Of the lease record that names this node.
         std::unique_ptr<QuotaShard> shard;      ///< Null until the store has named this node.
     };
--- a/src/sidecar/load_logger.cc
+++ b/src/sidecar/load_logger.cc
@@ -12,8 +12,13 @@
 }  // namespace
 
 LoadLogger::LoadLogger(Clock& clock, EventLog& log, const std::string& service, relay::RelayService& relay,
-                       const decision::BottleneckView& bottlenecks, const decision::RetryLimit& retries)
-    : clock_(clock), log_(log), service_(service), relay_(relay), bottlenecks_(bottlenecks), retry_limit_(retries) {}
+                       const decision::BottleneckView& bottlenecks, const decision::RetryLimit& retry_limit)
+    : clock_(clock),
+      log_(log),
+      service_(service),
+      relay_(relay),
+      bottlenecks_(bottlenecks),
+      retry_limit_(retry_limit) {}
 
 /// Writes `load` if demand is near the instance's capacity or any known bottleneck limits admission.
 void LoadLogger::write() {
@@ -37,7 +42,7 @@
                    .with("bottleneck", tightest.service));
 }
 
-/// Writes `repeats` if there were requests or retries since the last event; `dewcrank repeats` sums the values.
+/// Writes `repeats` if there were requests or retries since the last check; `dewcrank repeats` sums the values.
 void LoadLogger::writeRetries() {
     const auto& now = relay_.retryTotals();
     const auto before = std::exchange(last_, now);
--- a/src/sidecar/load_logger.h
+++ b/src/sidecar/load_logger.h
@@ -13,11 +13,15 @@
 
 namespace dewcrank::sidecar {
 
-/// Writes the `load` and `repeats` events once a second, from start() on.
+/// Checks once a second, from start() on, which events to write.
+///
+/// Log events:
+///   load      demand is near the capacity of the instance, or a known bottleneck limits admission
+///   repeats   there were requests or retries in the last second, which the event counts
 class LoadLogger {
 public:
     LoadLogger(Clock& clock, EventLog& log, const std::string& service, relay::RelayService& relay,
-               const decision::BottleneckView& bottlenecks, const decision::RetryLimit& retries);
+               const decision::BottleneckView& bottlenecks, const decision::RetryLimit& retry_limit);
     void start() { write(); }
 
 private:
@@ -30,8 +34,8 @@
     relay::RelayService& relay_;
     const decision::BottleneckView& bottlenecks_;
     const decision::RetryLimit& retry_limit_;
-    decision::RetryTotals last_;  ///< As of the last `repeats` event.
-    std::uint64_t last_counted_before_ = 0;
+    decision::RetryTotals last_;             ///< As of the last check.
+    std::uint64_t last_counted_before_ = 0;  ///< relay::RelayService::countedElsewhere() as of the last check.
     TimerHandle timer_;
 };
 
--- a/src/sidecar/peer_discovery.h
+++ b/src/sidecar/peer_discovery.h
@@ -35,8 +35,8 @@
     /// Fleet size up to which the number of nodes that list themselves at a simultaneous start stays constant. A
     /// greater value makes nodes of small fleets wait longer.
     double max_fleet_size = 5'000;
-    /// Time between checks whether this node should be listed. It lists itself after so many positive checks in a row,
-    /// since a starting node has a record of few others.
+    /// Time between checks whether this node should be listed. A node lists itself after so many positive checks in
+    /// a row, since a starting node has a record of few others.
     Duration check_interval = 1s;
     std::uint32_t checks_before_listing = 3;
     /// Exponential backoff between calls to the store.
@@ -54,6 +54,12 @@
 /// this node should be listed.
 /// Invariant: a node that lists itself reads the list afterwards. So of two partitions of a fleet that started
 /// separately, at least one discovers the other.
+///
+/// Log events:
+///   nodes_listed     the store's list was read; it has `count` nodes
+///   contact_listed   this node has listed itself
+///   fleet_joined     discovery has ended with `known` other nodes; 0: this node is alone
+///   store_failed     reading the list (`step=list`) or listing this node (`step=announce`) has failed
 class PeerDiscovery {
 public:
     /// @param seeds addresses ("ip:port") of other nodes; may be out of date.
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -23,7 +23,7 @@
     return response;
 }
 
-/// Parses a header with a number of milliseconds; nothing if the value is invalid.
+/// Parses the value of a header, a number of milliseconds. @return nothing if the value is invalid.
 std::optional<Duration> parseMilliseconds(std::string_view text) {
     std::int64_t value = 0;
     const auto result = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -82,8 +82,8 @@
                       [this](const entry::EntryPlan& plan) { return isOverloaded(plan); },
                       settings_.knobs.disabled},
       store_session_(ports.clock, ports.random, ports.log, ports.store, directory_, gossip_, table_, lease_, settings_),
-      shard_keeper_(ports.clock, ports.log, ports.store, directory_, table_, settings_.knobs.quota_shards),
-      quota_(ports.clock, ports.random, ports.log, ports.nodes, directory_, table_, shard_keeper_,
+      shard_lease_manager_(ports.clock, ports.log, ports.store, directory_, table_, settings_.knobs.quota_shards),
+      quota_(ports.clock, ports.random, ports.log, ports.nodes, directory_, table_, shard_lease_manager_,
              settings_.knobs.quota_client),
       intake_({ports.clock, table_, lease_, quota_, settings_.header_names, settings_.knobs.access}),
       load_logger_(ports.clock, ports.log, settings_.service, relay_, bottlenecks_, settings_.knobs.relay.repeats) {
@@ -107,7 +107,7 @@
     gossip_.start();
     quarantine_exchange_.start();
     store_session_.start();
-    shard_keeper_.start();
+    shard_lease_manager_.start();
     load_logger_.start();
 }
 
@@ -248,9 +248,9 @@
     return plan;
 }
 
-/// Next service by the weights of the route's parts; another part if that service has no known instance.
+/// @return the next service by the weights of the route's parts, or another part's if that one has no known instance.
 std::string SidecarNode::selectService(const wire::Route& route) {
-    const auto found = dividers_.try_emplace(route.name(), ports_.random.unit()).first;
+    const auto found = traffic_splitters_.try_emplace(route.name(), ports_.random.unit()).first;
     auto service = route.parts(static_cast<int>(found->second.next(route))).service();
     if (selector_.hasRelay(service)) {
         return service;
@@ -403,7 +403,7 @@
     done_ = std::move(done);
     ports_.log.write(Event("node_stopping").with("in_flight", inFlight()));
     relay_.stop(stop_started_ + settings_.knobs.max_stop_time - kStopCheckInterval);
-    shard_keeper_.release();
+    shard_lease_manager_.release();
     directory_.updateSelf(instance_.record(), true);
     if (instance_.record().state() == wire::INSTANCE_GONE) {
         store_session_.withdraw();
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -50,6 +50,16 @@
 };
 
 /// Wires all parts of a node together. Owns no socket, clock or thread; all calls come from one event loop.
+///
+/// Log events:
+///   instance_changed      the state of the local instance has changed
+///   request_turned_away   a request of a local caller was rejected before it became a call
+///   relayed               a call of another node has a response of the local instance
+///   relay_refused         a call of another node has no response of the local instance
+///   node_silent           the failure detector has found the node `peer` unresponsive
+///   machine_suspended     the host has resumed after a suspension of `for_ms` milliseconds
+///   node_stopping         a graceful shutdown has started
+///   node_idle             the shutdown has ended, with `in_flight` calls unfinished
 class SidecarNode {
 public:
     using CallId = std::uint64_t;
@@ -67,6 +77,7 @@
     /// @return an id for cancelCall(); 0 if `reply` has been called already.
     CallId handleCall(HttpRequest request, ReplyCallback reply);
     /// Handles a request of another node: gossip, quarantine or quota exchange, or a call for the local instance.
+    /// @return as handleCall().
     CallId handleNodeRequest(HttpRequest request, const ReplyCallback& reply);
     /// Cancels a call whose client has disconnected; its reply is not called any more.
     void cancelCall(CallId call_id);
@@ -85,6 +96,7 @@
     /// @return true if this node can take calls: it has a table, has joined the fleet and is not stopping.
     [[nodiscard]] bool isReady() const;
     [[nodiscard]] bool isStopping() const { return is_stopping_; }
+    /// @return the number of unfinished calls, of local callers and of other nodes.
     [[nodiscard]] std::size_t inFlight() const { return calls_.size() + intake_.waitingCount() + relay_.inFlight(); }
     [[nodiscard]] policy::RouteTable& table() { return table_; }
     [[nodiscard]] const fleet::NodeDirectory& directory() const { return directory_; }
@@ -100,14 +112,15 @@
     [[nodiscard]] const quarantine::Quarantine& quarantine() const { return quarantine_; }
     [[nodiscard]] const quota::QuotaClient& quota() const { return quota_; }
     /// @return the number of quota shards whose tokens this node grants.
-    [[nodiscard]] std::size_t quotaShards() const { return shard_keeper_.grantingCount(); }
+    [[nodiscard]] std::size_t quotaShards() const { return shard_lease_manager_.grantingCount(); }
     /// @return the number of incarnations of local instances that are on record.
     [[nodiscard]] std::size_t knownIncarnations() const { return instance_.knownIncarnations(); }
-    [[nodiscard]] bool ownsQuotaShard(std::uint32_t shard) const { return shard_keeper_.mayGrant(shard); }
+    [[nodiscard]] bool ownsQuotaShard(std::uint32_t shard) const { return shard_lease_manager_.mayGrant(shard); }
     /// @return the newest known store era (see ControlStore::era()).
     [[nodiscard]] std::uint64_t storeEra() const { return gossip_.storeEra(); }
     /// @return time since the table was last confirmed as the newest; nothing if it never was.
     [[nodiscard]] std::optional<Duration> tableAge() const { return lease_.age(ports_.clock.now()); }
+    /// @return the retries of the local instance's service in the current window of the retry limit.
     [[nodiscard]] decision::RetryWindow retryWindow() { return relay_.retryWindow(); }
 
 private:
@@ -148,12 +161,12 @@
     decision::Admission admission_;
     entry::EntryServices entry_services_;
     StoreSession store_session_;
-    quota::ShardLeaseManager shard_keeper_;
+    quota::ShardLeaseManager shard_lease_manager_;
     quota::QuotaClient quota_;
     entry::CallIntake intake_;
     LoadLogger load_logger_;
     decision::UsualDeadlines deadlines_;
-    std::map<std::string, policy::TrafficSplitter> dividers_;  ///< By route name.
+    std::map<std::string, policy::TrafficSplitter> traffic_splitters_;  ///< By route name.
     CallId last_call_id_ = 0;
     std::map<CallId, std::unique_ptr<entry::EntryCall>> calls_;
     /// Quota token of a call in calls_.
--- a/src/sidecar/table_refresher.cc
+++ b/src/sidecar/table_refresher.cc
@@ -45,10 +45,10 @@
     }
 }
 
-void TableRefresher::onReadEnded(bool is_read) {
+void TableRefresher::onReadEnded(bool has_response) {
     is_reading_ = false;
     drawReadAge();
-    if (is_read) {
+    if (has_response) {
         backoff_ = knobs_.min_backoff;
         return;
     }
--- a/src/sidecar/table_refresher.h
+++ b/src/sidecar/table_refresher.h
@@ -22,20 +22,20 @@
     Duration max_read_age = 2700ms;
     /// Above this age of the lease, peers are polled at each check; responses to other calls report their ages as well.
     Duration peer_request_age = 800ms;
-    std::size_t peers_per_request = 1;
-    Duration min_backoff = 300ms;  ///< After a failed read; exponential backoff.
+    std::size_t peers_per_request = 1;  ///< Number of random peers polled at each check.
+    Duration min_backoff = 300ms;       ///< Delay after a failed read; exponential backoff.
     Duration max_backoff = 2s;
 };
 
-/// Polls peers and the store before the lease of the table expires. Active only if keys are bound to a lease and the
-/// table has tenants.
+/// Polls peers and the store before the lease of the table expires. Active only if revocation of keys is
+/// bounded in time (see policy::TableLease::isRequired()) and the table has tenants.
 class TableRefresher {
 public:
     /// @param read starts a read of the store, and calls onReadEnded() when it ends.
     TableRefresher(Clock& clock, RandomSource& random, fleet::Gossip& gossip, const policy::RouteTable& table,
                    const policy::TableLease& lease, TableRefresherKnobs knobs, std::function<void()> read);
     void start();
-    void onReadEnded(bool is_read);  ///< @param is_read the store responded.
+    void onReadEnded(bool has_response);  ///< @param has_response true if the store responded.
     /// @return true if the refresher reads the store when the lease grows old.
     [[nodiscard]] bool isActive() const { return lease_.isRequired() && table_.hasTenants(); }
 
--- a/src/sidecar/table_watcher.cc
+++ b/src/sidecar/table_watcher.cc
@@ -86,14 +86,14 @@
     const auto predecessors = ranking_.predecessors(knobs_.candidates);
     if (predecessors.size() < knobs_.candidates) {
         for (const auto* node : predecessors) {
-            probeIfSilent(*node);
+            probeIfNoRecentContact(*node);
         }
     } else if (++checks_ % knobs_.checks_between_probes == 0) {
-        probeIfSilent(*ranking_.predecessor());
+        probeIfNoRecentContact(*ranking_.predecessor());
     }
 }
 
-void TableWatcher::probeIfSilent(const fleet::KnownNode& node) {
+void TableWatcher::probeIfNoRecentContact(const fleet::KnownNode& node) {
     if (clock_.now() - node.last_contact > knobs_.max_silence) {
         gossip_.probe(node.record.name(), knobs_.probe_timeout, [](bool) {});
     }
@@ -124,11 +124,11 @@
 
 void TableWatcher::refresh() {
     store_.readTable([this, sent = clock_.now()](std::optional<TableRead> response) {
-        const bool is_read = adopt(&response, sent);
-        if (!is_read) {
+        const bool has_response = adopt(&response, sent);
+        if (!has_response) {
             log_.write(Event("store_failed").with("step", "refresh"));
         }
-        refresher_.onReadEnded(is_read);
+        refresher_.onReadEnded(has_response);
     });
 }
 
--- a/src/sidecar/table_watcher.h
+++ b/src/sidecar/table_watcher.h
@@ -48,6 +48,11 @@
 
 /// Checks periodically whether this node should watch the store. While it should, the watcher reads the table and then
 /// watches it for changes, with at most one such call in flight. Owns the TableRefresher, whose reads are separate.
+///
+/// Log events:
+///   store_followed   this node starts to watch the store
+///   table_adopted    a newer table was read from the store (`from=store`)
+///   store_failed     a read or watch (`step=table`), or a read of the refresher (`step=refresh`) has failed
 class TableWatcher {
 public:
     TableWatcher(Clock& clock, RandomSource& random, EventLog& log, ControlStore& store,
@@ -61,7 +66,7 @@
     void countPositiveChecks();
     [[nodiscard]] bool isDue() const;
     void probePredecessors();
-    void probeIfSilent(const fleet::KnownNode& node);
+    void probeIfNoRecentContact(const fleet::KnownNode& node);
     [[nodiscard]] bool isCandidate() const;
     [[nodiscard]] bool isWatcher() const;
     [[nodiscard]] bool isIsolated() const;
@@ -87,7 +92,7 @@
     std::uint64_t revision_ = 0;  ///< Store revision, in era_, from which to watch; 0: read the table.
     std::uint64_t era_ = 0;       ///< Newest known store era at the last response.
     std::uint32_t failures_ = 0;  ///< Consecutive failed calls.
-    std::uint32_t checks_ = 0;
+    std::uint32_t checks_ = 0;    ///< Checks at which this node was no candidate; see checks_between_probes.
     TimePoint started_{};
     std::size_t nodes_at_check_ = 0;     ///< Other nodes in the directory at the last check.
     std::uint32_t positive_checks_ = 0;  ///< Consecutive checks at which this node should watch.
