--- a/apps/sidecar/sidecar_daemon.h
+++ b/apps/sidecar/sidecar_daemon.h
@@ -49,7 +49,7 @@
     using Exchange = std::shared_ptr<adapters::ServerExchange>;
     [[nodiscard]] sidecar::Settings nodeSettings() const;
     bool onHeartbeat(const instance::Heartbeat& heartbeat) override { return node_.onHeartbeat(heartbeat); }
-    void onInstanceLeave(const std::string& id, std::uint64_t born_ms) override { node_.onInstanceLeave(id, born_ms); }
+    void onInstanceLeave(const std::string& id, std::uint64_t start_ms) override { node_.onInstanceLeave(id, start_ms); }
     void onCall(HttpRequest request, const Exchange& exchange);
     void onHeartbeatRequest(HttpRequest request, const Exchange& exchange);
     void onNodeRequest(HttpRequest request, const Exchange& exchange);
--- a/src/ports/instance_api.h
+++ b/src/ports/instance_api.h
@@ -18,8 +18,8 @@
     virtual bool onHeartbeat(const instance::Heartbeat& heartbeat) = 0;
     /// The instance shuts down and takes no further requests.
     /// @param id      of the instance.
-    /// @param born_ms start time of the incarnation that shuts down, in milliseconds; 0: not given.
-    virtual void onInstanceLeave(const std::string& id, std::uint64_t born_ms) = 0;
+    /// @param start_ms start time of the incarnation that shuts down, in milliseconds; 0: not given.
+    virtual void onInstanceLeave(const std::string& id, std::uint64_t start_ms) = 0;
 };
 
 /// Decodes the platform's format of the instance's requests.
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -151,8 +151,8 @@
     return true;
 }
 
-void SidecarNode::onInstanceLeave(const std::string& id, std::uint64_t born_ms) {
-    instance_.onLeave(id, born_ms);
+void SidecarNode::onInstanceLeave(const std::string& id, std::uint64_t start_ms) {
+    instance_.onLeave(id, start_ms);
 }
 
 /// The directory is out of date, so that gossip starts at once. The instance was suspended too: its missing heartbeats
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -84,8 +84,8 @@
 
     /// @return false if the heartbeat names a service that is not part of the fleet; it is ignored then.
     bool onHeartbeat(const instance::Heartbeat& heartbeat);
-    /// The instance deregisters. @param born_ms start time of its incarnation in milliseconds; 0: not given.
-    void onInstanceLeave(const std::string& id, std::uint64_t born_ms = 0);
+    /// The instance deregisters. @param start_ms start time of its incarnation in milliseconds; 0: not given.
+    void onInstanceLeave(const std::string& id, std::uint64_t start_ms = 0);
     /// The host has resumed after it was suspended for this time.
     void onHostResumed(Duration suspended);
 
