--- a/tests/contract/loop_fixture.h
+++ b/tests/contract/loop_fixture.h
@@ -12,7 +12,7 @@
 /// Time after which a wait fails the test.
 inline constexpr Duration kWaitLimit = 20s;
 
-/// Owns an event loop, and runs it until a condition holds.
+/// Owns an event loop, and runs the loop until a condition holds.
 class LoopFixture {
 public:
     /// Runs the loop until `done` returns true; fails the test after kWaitLimit.
--- a/tests/contract/raw_server.h
+++ b/tests/contract/raw_server.h
@@ -14,7 +14,7 @@
 
 namespace dewcrank::tests {
 
-/// Counts requests, recognized by their blank line, and sends `response` to each. An empty response, or
+/// Counts requests, which end with a blank line, and sends `response` to each of them. An empty response, or
 /// `close_after_response`, closes the connection.
 class RawServer {
 public:
--- a/tests/contract/store_contract_test.cc
+++ b/tests/contract/store_contract_test.cc
@@ -288,7 +288,7 @@
     BOOST_TEST(read()->table.version() == 8U);
 }
 
-/// Guards against a lost update: after a restore, another table may have the revision of the one that was read.
+/// Guards against a lost update: after a restore, another table may have the same revision as the table that was read.
 BOOST_FIXTURE_TEST_CASE(an_edit_of_a_table_read_before_a_restore_is_not_saved, ConfigFixture) {
     putTable(7);
     server.saveCopy();
--- a/tests/standins/instance.cc
+++ b/tests/standins/instance.cc
@@ -15,7 +15,7 @@
 constexpr Duration kPostTimeout = 1s;
 /// Time between the acknowledgement of a drain and deregistration.
 constexpr Duration kDrainServeTime = 2500ms;
-/// Time after which a drain without acknowledgement ends.
+/// Time after which an unacknowledged drain ends.
 constexpr Duration kMaxDrainTime = 6s;
 constexpr Duration kInternalCallMargin = 20ms;
 /// Delay from the start of a crashing request's run to the crash.
@@ -183,7 +183,7 @@
     respond(exchange, is_error ? kHttpInternalServerError : status, id, random_.unit() >= faults_.unsigned_responses);
 }
 
-/// Called when the run has completed or its caller has disconnected; frees its slot.
+/// Frees the slot of a run that has completed or whose caller has disconnected.
 void Instance::removeRun(std::uint64_t number) {
     const auto ended = runs_.extract(number);
     if (!ended.empty() && ended.mapped()->is_running) {
--- a/tests/unit/base/recent_maximum_test.cc
+++ b/tests/unit/base/recent_maximum_test.cc
@@ -36,6 +36,7 @@
     BOOST_TEST(maximum.at(kStart + 15s) == 1U);
 }
 
+/// Guards against smaller values, before or after a rise, that replace the maximum while the maximum is in the window.
 BOOST_AUTO_TEST_CASE(a_rise_in_between_covers_what_was_smaller) {
     RecentMaximum maximum(10s, 1);
     maximum.set(kStart, 2);
--- a/tests/unit/decision/bottleneck_view_test.cc
+++ b/tests/unit/decision/bottleneck_view_test.cc
@@ -61,6 +61,7 @@
     BOOST_TEST((bottleneckOf("order").cost == 50ms));
 }
 
+/// Guards against rejections on routes that make no calls to the bottleneck.
 BOOST_AUTO_TEST_CASE(just_the_routes_that_make_a_call_share_its_bottleneck) {
     learnCalls();
     report("inner", "n1", {50, 20, 20}, 30ms);
@@ -70,6 +71,7 @@
     BOOST_TEST(bottleneckOfCalls("plain").service.empty());
 }
 
+/// Guards against a downstream bottleneck that is hidden by the higher admission ratio of a nearer service.
 BOOST_AUTO_TEST_CASE(the_lowest_ratio_counts_at_any_depth) {
     report("order", "n1", {10, 20, 10}, 50ms, {"leaf", 0.3, 88ms});
     BOOST_TEST(bottleneckOf("order").service == "leaf");
--- a/tests/unit/decision/call_graph_test.cc
+++ b/tests/unit/decision/call_graph_test.cc
@@ -52,7 +52,7 @@
         auto deadline = began + route.deadline;
         const auto number = graph.onRunBegan(began, route.name, {route.retry_probability, 1}, &deadline);
         BOOST_TEST((deadline <= began + route.deadline));
-        // The graph uses the observed mean time, which differs somewhat from the nominal one.
+        // The graph uses the observed mean time, which differs from the nominal time.
         BOOST_TEST((2 * (deadline - began) >= 5 * route.time || deadline == began + route.deadline));
         step(number, deadline, steps, 0, route.time / static_cast<int>(steps.size() + 1));
     }
@@ -93,6 +93,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(unit_decision_call_graph, GraphFixture)
 
+/// Guards against excluding a dependency of a route before the graph has samples.
 BOOST_AUTO_TEST_CASE(nothing_is_excluded_before_enough_was_seen) {
     auto deadline = time.queue.now() + 1s;
     BOOST_TEST(graph.depends("pack", "below"));
@@ -101,6 +102,7 @@
     BOOST_TEST(!graph.callsPerRun("pack", "below").has_value());
 }
 
+/// Guards against attributing calls to a route that makes no calls but runs at the same time as a calling route.
 BOOST_AUTO_TEST_CASE(a_route_that_makes_no_calls_is_told_from_one_that_makes_many) {
     arrive({"index", 35, 2s, 200ms, {{"below", 4, 700ms}}});
     arrive({"pack", 4, 1500ms, 130ms, {}});
@@ -131,7 +133,8 @@
     }
 }
 
-/// Guards against a route that is taken for one without calls because most of its runs fail at their first call.
+/// Guards against a calling route that is classified as a route without calls because most runs fail at the first
+/// call.
 BOOST_AUTO_TEST_CASE(failing_runs_are_known_to_make_calls) {
     arrive({"check", 60, 2500ms, 250ms, {{"stock", 4, 2s, 0.95}}});
     arrive({"plain", 40, 1200ms, 100ms, {}});
@@ -140,6 +143,7 @@
     BOOST_TEST(!graph.depends("plain", "stock"));
 }
 
+/// Guards against call counts that do not follow a change of the route.
 BOOST_AUTO_TEST_CASE(a_route_whose_calls_change_is_learned_anew) {
     Route route{"check", 60, 2500ms, 250ms, {{"stock", 1, 2s}}};
     arrive(route);
@@ -160,6 +164,7 @@
     BOOST_TEST(std::abs(mean - 0.1) < 0.03, mean);
 }
 
+/// Guards against a failed run that is attributed to a call before its start, long ago or already attributed.
 BOOST_AUTO_TEST_CASE(a_failure_is_explained_by_a_call_that_has_just_failed_during_the_run) {
     const auto began = time.queue.now();
     BOOST_TEST(!graph.attributeFailure(began, began));
--- a/tests/unit/entry/access_check_test.cc
+++ b/tests/unit/entry/access_check_test.cc
@@ -101,6 +101,7 @@
     }
 }
 
+/// Guards against a final denial of a new key (401 instead of 503) while the node lacks the latest route table.
 BOOST_AUTO_TEST_CASE(a_node_that_is_behind_catches_up_before_it_denies) {
     table.onVersionSeen(4);
     BOOST_TEST(check("closed", "k3").rejection->status == 503);
--- a/tests/unit/fleet/gossip_test.cc
+++ b/tests/unit/fleet/gossip_test.cc
@@ -73,7 +73,7 @@
         left.directory.addAddress("right", "", "right:1");
         right.directory.addAddress("left", "", "left:1");
     }
-    /// Runs one exchange. @return its bytes.
+    /// Runs one exchange. @return the number of bytes sent.
     std::size_t exchange() {
         const auto before = network.bytes;
         left.gossip.exchangeWith("right");
@@ -182,6 +182,7 @@
     BOOST_TEST(network.messages <= kNodes * 16);
 }
 
+/// Guards against nodes that never receive a record because the rumors of the record did not reach them.
 BOOST_FIXTURE_TEST_CASE(exchanges_bring_what_rumors_have_missed, FleetFixture) {
     wire::InstanceRecord instance;
     instance.set_id("i1");
@@ -193,6 +194,7 @@
     BOOST_TEST(countNodesWith("node-0", 1) == kNodes);
 }
 
+/// Guards against a node that stays without the table because its first requests for the table get no response.
 BOOST_FIXTURE_TEST_CASE(a_node_that_does_not_answer_does_not_keep_the_table_from_others, FleetFixture) {
     for (int i = 0; i < 2; ++i) {
         starting.gossip.exchangeWith("node-" + std::to_string(i));  // Table requests without a response yet.
@@ -235,7 +237,7 @@
     }
 }
 
-/// Guards against a table age from a request, which may have been delayed for any time.
+/// Guards against a table age that is derived from a request, since a request may have been delayed for any time.
 BOOST_AUTO_TEST_CASE(only_answers_tell_how_fresh_a_table_is) {
     right.lease.onRead(time.clock.now());
     time.advance(1s);
--- a/tests/unit/fleet/node_directory_test.cc
+++ b/tests/unit/fleet/node_directory_test.cc
@@ -35,6 +35,7 @@
     BOOST_TEST(directory.find("a")->record.incarnation() == 2U);
 }
 
+/// Guards against a restarted node whose records are ignored because other nodes hold a higher incarnation.
 BOOST_AUTO_TEST_CASE(a_node_goes_on_after_a_later_life_that_others_remember) {
     int changes = 0;
     directory.signalSelfChanged().connect([&] { ++changes; });
--- a/tests/unit/policy/table_lease_test.cc
+++ b/tests/unit/policy/table_lease_test.cc
@@ -36,7 +36,7 @@
 BOOST_AUTO_TEST_CASE(a_read_confirms_the_moment_at_which_it_was_sent) {
     auto lease = leaseOf(5s);
     lease.onRead(kStart);
-    lease.onRead(kStart - 3s);  // Sent earlier, received later.
+    lease.onRead(kStart - 3s);  // The read was sent earlier and received later.
     BOOST_TEST(lease.age(kStart + 1s)->count() == Duration(1s).count());
 }
 
@@ -52,7 +52,7 @@
         {4s, 1s, 7, 7, 7s},    // Confirmed at 3 s.
         {4s, 6s, 7, 7, 10s},   // Older than the local confirmation.
         {4s, 1s, 7, 8, 7s},    // The local table is newer, so it contains the peer's versions.
-        {4s, 1s, 8, 7, 10s},   // The peer's table is newer: the local one is not confirmed.
+        {4s, 1s, 8, 7, 10s},   // The peer's table is newer: the local table is not confirmed.
         {4s, -1s, 7, 7, 10s},  // A negative age is invalid.
     };
     for (const auto& entry : cases) {
--- a/tests/unit/policy/table_rows_test.cc
+++ b/tests/unit/policy/table_rows_test.cc
@@ -119,7 +119,7 @@
     const auto shown = policy::rowsOf(table).at("tenant/house");
     BOOST_TEST(shown.at("keys").find("secret") == std::string::npos);
     BOOST_TEST(shown.at("priority") == "-");
-    // Removes one key, adds one, and keeps the other one by its fingerprint.
+    // Removes one key, adds one, and identifies the kept key by its fingerprint.
     const auto first = shown.at("keys").substr(0, shown.at("keys").find(' '));
     BOOST_TEST(set("keys", first + " secret-3") == "");
     BOOST_TEST(table.tenants(0).keys_size() == 2);
--- a/tests/unit/quota/quota_test.cc
+++ b/tests/unit/quota/quota_test.cc
@@ -153,7 +153,7 @@
         TimePoint requested_at;
         TimePoint received_at;
         std::size_t node;
-        std::size_t named;  ///< The owner that the store had named.
+        std::size_t named;  ///< The owner according to the store.
     };
     std::vector<Response> responses;
     std::vector<TimePoint> unreachable_until(kNodes, kStart);
@@ -191,17 +191,19 @@
     return found;
 }
 
+/// Guards against two owners of a shard that grant tokens at the same time.
 BOOST_AUTO_TEST_CASE(no_two_owners_hand_out_at_the_same_time) {
     std::size_t unsafe_overlaps = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         for (const auto max_delay : {Duration(500ms), Duration(4s)}) {
             BOOST_TEST(overlaps(seed, 0.04, max_delay) == 0U, "seed " << seed);
-            unsafe_overlaps += overlaps(seed, -0.9, max_delay);  // A negative margin: leases overlap.
+            unsafe_overlaps += overlaps(seed, -0.9, max_delay);  // A negative margin lets leases overlap.
         }
     }
     BOOST_TEST(unsafe_overlaps > 0U);
 }
 
+/// Guards against an interruption of grants after a shard owner has stopped in a planned way.
 BOOST_AUTO_TEST_CASE(the_successor_of_a_stopped_owner_does_not_wait) {
     quota::ShardLease lease{{}};
     lease.onConfirmed(kStart, kStart + 4ms, true);
--- a/tests/unit/relay/crash_detector_test.cc
+++ b/tests/unit/relay/crash_detector_test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Ends each probe with the result `next`: timeouts after their time, all others after a millisecond.
+/// Ends each probe with the result `next`: timeouts after the timeout of the probe, other results after a millisecond.
 class ScriptedInstance : public HttpTransport {
 public:
     explicit ScriptedInstance(Clock& clock) : clock_(clock) {}
--- a/tests/unit/relay/relay_crash_test.cc
+++ b/tests/unit/relay/relay_crash_test.cc
@@ -44,7 +44,7 @@
         callbacks.insert(callbacks.end(), rest.begin(), rest.end());
     }
     AttemptResult probe{AttemptOutcome::kNotSent, {}, "connect-failed"};
-    std::vector<std::string> paths;  ///< Paths of the pending requests.
+    std::vector<std::string> paths;  ///< Paths of the requests since the last `endAll` or `endSome`.
 
 private:
     struct Running : Attempt {
--- a/tests/unit/relay/relay_parts_test.cc
+++ b/tests/unit/relay/relay_parts_test.cc
@@ -150,7 +150,8 @@
     Clock& clock_;
 };
 
-/// Guards against a retry budget that grows with rejections: a request that several relays reject counts at one only.
+/// Guards against a retry budget that grows with rejections: a request that several relays reject counts at one
+/// relay only.
 BOOST_AUTO_TEST_CASE(a_request_counts_for_retries_at_one_relay_only) {
     BOOST_TEST((retryAfter40(false) == relay::RelayReason::kNone));
     BOOST_TEST((retryAfter40(true) == relay::RelayReason::kRetryBudget));
@@ -219,6 +220,7 @@
     std::vector<Callback> callbacks;
 };
 
+/// Guards against wasted work: a later call of a started request tree must not wait behind first calls of others.
 BOOST_AUTO_TEST_CASE(calls_of_started_trees_are_admitted_first_and_all_internal_calls_may_wait) {
     tests::VirtualTime time;
     tests::RecordingLog log;
--- a/tests/unit/relay/relay_retries_test.cc
+++ b/tests/unit/relay/relay_retries_test.cc
@@ -19,7 +19,7 @@
 constexpr Duration kStep = 500ms;  ///< Each relay receives one request per step.
 constexpr double kRequestsInWindow = kRelays * (kBound.window / kStep);
 
-/// Relays of one service, each with more failures than its retry budget covers.
+/// Relays of one service. Each relay has more failed requests than its retry budget covers.
 struct Service {
     tests::VirtualTime time;
     decision::CallGraph graph{{}};
@@ -64,7 +64,8 @@
 
 BOOST_AUTO_TEST_SUITE(unit_relay_retries)
 
-/// Guards against slack that is spent twice, when all relays spend their whole budgets and stop within one window.
+/// Guards against slack that is spent twice while the number of relays decreases within one window and all relays
+/// spend their whole budgets.
 BOOST_AUTO_TEST_CASE(the_slack_is_spent_only_once_while_relays_stop) {
     Service service;
     service.runFor(kBound.window * 2);
