--- a/tests/unit/decision/bottleneck_view_test.cc
+++ b/tests/unit/decision/bottleneck_view_test.cc
@@ -49,7 +49,7 @@
     BOOST_TEST(!view.isInternal("any"));
 }
 
-/// Guards against a ratio taken from the most loaded relay alone: it must reflect the sum over all relays.
+/// Guards against a ratio taken from the most loaded relay alone: the ratio must reflect the sum over all relays.
 BOOST_AUTO_TEST_CASE(the_relays_of_a_service_count_together) {
     report("order", "n1", {10, 20, 10}, 50ms);
     report("order", "n2", {10, 20, 10}, 50ms);
@@ -81,8 +81,8 @@
     BOOST_TEST(std::abs(bottleneckOf("order").admit_ratio - 0.4) < 1e-6);
 }
 
-/// Guards against a bottleneck reported only by a relay that has just started: without samples of its instance's
-/// calls, the relay assumes too many of them.
+/// Guards against a bottleneck that only a relay without samples reports: right after a start, a relay attributes too
+/// many calls to its instance.
 BOOST_AUTO_TEST_CASE(what_most_relays_say_of_a_route_counts) {
     for (int round = 0; round < 20; ++round) {
         for (const auto* relay : {"n1", "n2", "n3"}) {
--- a/tests/unit/decision/call_graph_test.cc
+++ b/tests/unit/decision/call_graph_test.cc
@@ -114,7 +114,7 @@
     }
 }
 
-/// Guards against wrong call counts when all timeouts are the usual ones, so that none shows the deadline of its run.
+/// Guards against wrong call counts when all calls have their usual timeouts, which do not depend on the run.
 BOOST_AUTO_TEST_CASE(calls_are_counted_though_no_run_comes_near_its_end) {
     arrive({"sign", 30, 5s, 300ms, {{"stock", 2, 2s}}});
     arrive({"check", 60, 2500ms, 250ms, {{"stock", 1, 2s}, {"price", 3, 1s}}});
--- a/tests/unit/decision/usual_deadlines_test.cc
+++ b/tests/unit/decision/usual_deadlines_test.cc
@@ -15,7 +15,7 @@
     BOOST_TEST(!deadlines.isShortened(now, "band", 800ms));
 }
 
-/// Guards against a single long deadline that classifies usual ones as shortened for good.
+/// Guards against a single long timeout that makes all later usual timeouts count as shortened.
 BOOST_AUTO_TEST_CASE(one_very_long_deadline_is_forgotten) {
     decision::UsualDeadlines deadlines;
     TimePoint now(100s);
