--- a/tests/unit/quota/quota_test.cc
+++ b/tests/unit/quota/quota_test.cc
@@ -22,7 +22,7 @@
     return tenant;
 }
 
-/// Greatest number of tokens granted within any window of this length.
+/// @return the greatest number of tokens granted within any time span of length `window`.
 double maxTokensIn(const std::vector<TimePoint>& granted, Duration window) {
     std::ptrdiff_t max_tokens = 0;
     for (auto begin = granted.begin(); begin != granted.end(); ++begin) {
@@ -83,8 +83,9 @@
     }
 }
 
-/// Share of a tenant's requests that get no token, at 0.62 of its limit and spread over the nodes of a fleet.
-/// @param has_shards true: up to three of its shards are tried; false: each node has an equal part of the limit.
+/// Simulates a tenant that sends at 0.62 of its limit, spread over the nodes of a fleet.
+/// @param has_shards true: up to three shards are tried per request; false: each node has an equal part of the limit.
+/// @return the share of requests that receive no token.
 double refusedRatio(double rate, std::size_t nodes, bool has_shards, std::uint64_t seed) {
     adapters::SeededRandom random(seed);
     const auto tenant = tenantOf(rate, rate);
@@ -152,7 +153,7 @@
         TimePoint requested_at;
         TimePoint received_at;
         std::size_t node;
-        std::size_t named;  ///< The owner that the store had named.
+        std::size_t named;  ///< The owner according to the store.
     };
     std::vector<Response> responses;
     std::vector<TimePoint> unreachable_until(kNodes, kStart);
@@ -190,17 +191,19 @@
     return found;
 }
 
+/// Guards against two owners of a shard that grant tokens at the same time.
 BOOST_AUTO_TEST_CASE(no_two_owners_hand_out_at_the_same_time) {
     std::size_t unsafe_overlaps = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         for (const auto max_delay : {Duration(500ms), Duration(4s)}) {
             BOOST_TEST(overlaps(seed, 0.04, max_delay) == 0U, "seed " << seed);
-            unsafe_overlaps += overlaps(seed, -0.9, max_delay);  // A negative margin: leases overlap.
+            unsafe_overlaps += overlaps(seed, -0.9, max_delay);  // A negative margin lets leases overlap.
         }
     }
     BOOST_TEST(unsafe_overlaps > 0U);
 }
 
+/// Guards against an interruption of grants after a shard owner has stopped in a planned way.
 BOOST_AUTO_TEST_CASE(the_successor_of_a_stopped_owner_does_not_wait) {
     quota::ShardLease lease{{}};
     lease.onConfirmed(kStart, kStart + 4ms, true);
