--- a/tests/unit/relay/relay_parts_test.cc
+++ b/tests/unit/relay/relay_parts_test.cc
@@ -103,7 +103,7 @@
     quarantine::Quarantine quarantine(time.clock, {});
     const HeaderNames names;
     relay::RelayKnobs knobs;
-    knobs.repeats = {0.2, 0, 10s};
+    knobs.retry_limit = {0.2, 0, 10s};
     relay::RelayService relay(
         time.clock, log, instances, local, quarantine, names, "i:1", [](const std::string&) { return 1.0; }, knobs);
     instance::Heartbeat heartbeat;
@@ -166,7 +166,7 @@
     quarantine::Quarantine quarantine(time.clock, {});
     const HeaderNames names;
     relay::RelayKnobs knobs;
-    knobs.repeats = {0.25, 0, 10s};
+    knobs.retry_limit = {0.25, 0, 10s};
     relay::RelayService relay(
         time.clock, log, instances, local, quarantine, names, "i:1", [](const std::string&) { return 1.0; }, knobs);
     instance::Heartbeat heartbeat;
