--- a/tests/soak/checks.h
+++ b/tests/soak/checks.h
@@ -1,5 +1,5 @@
 /// @file
-/// The guarantees that the soak verifies, checked against the recorded requests, runs and disturbances.
+/// The invariants that the soak verifies, checked against the recorded requests, runs and disturbances.
 #pragma once
 
 #include <map>
@@ -11,9 +11,9 @@
 
 namespace dewcrank::soak {
 
-/// A violated guarantee.
+/// A violated invariant.
 struct Violation {
-    std::string guarantee;  ///< Name of the guarantee.
+    std::string invariant;  ///< Name of the invariant.
     std::string detail;     ///< Which request, instance, service or process violated it.
 };
 
--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// dewcrank-soak: sends load to a fleet of real nodes under random faults, and checks the fleet's guarantees.
+/// dewcrank-soak: sends load to a fleet of real nodes under random faults, and checks the fleet's invariants.
 /// scripts/soak.sh starts it together with the nodes.
 
 #include <cstdio>
@@ -184,8 +184,8 @@
         }
         std::map<std::string, int> counts;
         for (const auto& violation : violations) {
-            if (++counts[violation.guarantee] <= static_cast<int>(kMaxShownViolations)) {
-                std::printf("PROMISE BROKEN: %s: %s\n", violation.guarantee.c_str(), violation.detail.c_str());
+            if (++counts[violation.invariant] <= static_cast<int>(kMaxShownViolations)) {
+                std::printf("PROMISE BROKEN: %s: %s\n", violation.invariant.c_str(), violation.detail.c_str());
             }
         }
         std::printf("seed %llu: promises seen broken: %zu\n", static_cast<unsigned long long>(options_.seed),
@@ -209,7 +209,7 @@
 
 cxxopts::Options makeOptions() {
     cxxopts::Options options("dewcrank-soak",
-                             "Runs a fleet of real nodes under random faults and checks its guarantees.");
+                             "Runs a fleet of real nodes under random faults and checks its invariants.");
     auto add = options.add_options();
     add("directory", "directory with node settings, shared with scripts/soak.sh", cxxopts::value<std::string>());
     add("seed", "seed of the random faults and arrivals", cxxopts::value<std::uint64_t>()->default_value("1"));
--- a/tests/soak/observations.h
+++ b/tests/soak/observations.h
@@ -47,7 +47,7 @@
     TimePoint ended{};  ///< The epoch while it runs.
 };
 
-/// A period in which a fault affects a node, its links or the store. Guarantees with a time limit do not apply then.
+/// A period in which a fault affects a node, its links or the store. Invariants with a time limit do not apply then.
 struct Disturbance {
     TimePoint started{};
     TimePoint ended{};                ///< The epoch while it lasts.
--- a/tests/unit/soak/checks_test.cc
+++ b/tests/unit/soak/checks_test.cc
@@ -43,23 +43,23 @@
         request.headers.set(HeaderNames().request_id, id);
         observations.onArrival(service, "i3-1", request);
     }
-    /// @return names of the violated guarantees.
+    /// @return names of the violated invariants.
     std::vector<std::string> violated() {
-        std::vector<std::string> guarantees;
+        std::vector<std::string> invariants;
         for (const auto& violation : soak::findViolations(observations, {{0.2, 4, 10s}}, time.clock.now())) {
-            guarantees.push_back(violation.guarantee);
+            invariants.push_back(violation.invariant);
         }
-        return guarantees;
+        return invariants;
     }
 
     tests::VirtualTime time;
     soak::Observations observations{time.clock, HeaderNames()};
 };
 
-/// A history, and the one guarantee that it violates; empty: none.
+/// A history, and the one invariant that it violates; empty: none.
 struct Case {
     const char* name;
-    const char* guarantee;
+    const char* invariant;
     std::function<void(SoakHistory&)> record;
 };
 
@@ -240,15 +240,15 @@
 
 BOOST_AUTO_TEST_SUITE(unit_soak_checks)
 
-BOOST_AUTO_TEST_CASE(each_history_violates_only_the_expected_guarantee) {
+BOOST_AUTO_TEST_CASE(each_history_violates_only_the_expected_invariant) {
     for (const auto& test_case : kCases) {
         SoakHistory history;
         test_case.record(history);
         const auto violated = history.violated();
-        if (*test_case.guarantee == '\0') {
+        if (*test_case.invariant == '\0') {
             BOOST_TEST(violated.empty(), test_case.name << ": " << (violated.empty() ? "" : violated.front()));
         } else {
-            BOOST_TEST(violated == std::vector<std::string>{test_case.guarantee}, test_case.name);
+            BOOST_TEST(violated == std::vector<std::string>{test_case.invariant}, test_case.name);
         }
     }
 }
