--- a/tests/simulation/crashing_request_test.cc
+++ b/tests/simulation/crashing_request_test.cc
@@ -231,7 +231,8 @@
     return served / sent;
 }
 
-/// The same for other numbers of instances and other intervals. Of two instances, both crash in any case.
+/// Two crashing requests at services of several sizes and at several intervals. Services of two instances are left out:
+/// both instances crash in any case.
 BOOST_AUTO_TEST_CASE(others_are_served_on_at_services_of_other_sizes) {
     for (const std::size_t instances : {3U, 4U, 6U}) {
         for (const auto apart : {0ms, 40ms, 90ms, 160ms, 200ms}) {
--- a/tests/simulation/overload_test.cc
+++ b/tests/simulation/overload_test.cc
@@ -89,8 +89,8 @@
 
 BOOST_AUTO_TEST_SUITE(simulation_overload)
 
-/// From four seconds after the load began, or after instances crashed: admitted requests complete, the slots of the
-/// bottleneck are used, and urgent requests are preferred without starving the others.
+/// Checks, from four seconds after the load began or after instances crashed, that admitted requests complete, that the
+/// slots of the bottleneck are used, and that urgent requests are preferred without starving the others.
 void checkOverload(const OverloadCase& entry, std::uint64_t seed) {
     sim::SidecarFleet fleet(seed, fleetServices());
     fleet.putTable("browse", "desk", "leaf");
--- a/tests/simulation/store_calls_test.cc
+++ b/tests/simulation/store_calls_test.cc
@@ -13,9 +13,9 @@
 namespace {
 
 const std::vector<std::size_t> kSizes = {20, 80, 300};
-/// Calls at the start of all nodes per ten nodes; each node must not need one of its own.
+/// Calls per ten nodes allowed beyond kMaxZoneCalls when all nodes start: most nodes must not call the store.
 constexpr double kMaxCallsPerTenNodesAtStart = 1;
-/// Calls that a fleet of any size may make: those of three zones, with retries.
+/// Maximum number of calls of a fleet of any size: those for three zones, with retries.
 constexpr double kMaxZoneCalls = 60;
 
 std::vector<sim::FleetService> idleNodes(std::size_t count) {
--- a/tests/simulation/store_returns_test.cc
+++ b/tests/simulation/store_returns_test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// All nodes have a change within this time after it, or after the restore.
+/// All nodes must have the newest table within this time after it was put, or after a restore.
 constexpr Duration kPropagationBound = 7s;
 const std::vector<Duration> kAges = {500ms, 2s, 5s, 10s};
 
@@ -55,7 +55,7 @@
     return fleet.machineCount() - nodesWithNewestTable(fleet);
 }
 
-/// An owner that was cut off is named again by the restored store, while another node has taken its place.
+/// The restored store names a shard owner again that was cut off, although another node has taken over its shards.
 /// @return the number of shards with more than one owner, summed over samples every 20 ms.
 std::size_t samplesWithTwoOwners(std::uint64_t seed, Duration age, const DisabledMechanisms& disabled) {
     wire::Tenant tenant;
--- a/tests/soak/faults.cc
+++ b/tests/soak/faults.cc
@@ -15,7 +15,7 @@
 enum class Scope { kNode, kAll, kStore, kNone };
 
 constexpr Duration kStopInterval = 1500ms;
-/// Number of nodes that a rolling stop takes kStopInterval each for; with more nodes the interval shrinks.
+/// The stops of a rolling stop spread over kBaseNodes * kStopInterval, whatever the number of nodes.
 constexpr std::size_t kBaseNodes = 9;
 constexpr Duration kRollingStopLength = kBaseNodes * kStopInterval + 4s;
 constexpr Duration kLinkDelay = 120ms;
