--- a/src/instance/local_instance.cc
+++ b/src/instance/local_instance.cc
@@ -110,7 +110,7 @@
     }
 }
 
-void LocalInstance::onWoken() {
+void LocalInstance::onHostResumed() {
     if (isReady()) {
         last_contact_ = clock_.now();
         startContactTimer();
--- a/src/instance/local_instance.h
+++ b/src/instance/local_instance.h
@@ -50,7 +50,7 @@
     /// The instance has responded to a request: restarts the contact timeout.
     void onResponse() { last_contact_ = clock_.now(); }
     /// The host has resumed from suspension: restarts the contact timeout, as nothing could arrive meanwhile.
-    void onWoken();
+    void onHostResumed();
     /// Another instance than `expected` has responded at the address: `expected` counts as gone.
     void onMisdirected(const std::string& expected);
 
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -159,7 +159,7 @@
 /// do not count.
 void SidecarNode::onHostResumed(Duration suspended) {
     ports_.log.write(Event("machine_suspended").with("for_ms", toMilliseconds(suspended)));
-    instance_.onWoken();
+    instance_.onHostResumed();
     gossip_.announceSelf();
 }
 
--- a/tests/unit/decision/admission_test.cc
+++ b/tests/unit/decision/admission_test.cc
@@ -82,7 +82,7 @@
 
 /// Guards against a retry storm that starves the least urgent priority: the minimum share of a priority is computed
 /// from the admission ratio of first attempts, without client retries.
-BOOST_AUTO_TEST_CASE(callers_that_ask_again_take_nothing_of_what_a_priority_keeps) {
+BOOST_AUTO_TEST_CASE(client_retries_do_not_reduce_the_minimum_share) {
     const auto shares = sharesAt(0.12, 4);
     BOOST_TEST(shares.at(0) > 0.28);
     BOOST_TEST(shares.at(2) > 0.17);  // The ratio without retries is 0.28; the minimum share is 0.72 of this ratio.
--- a/tests/unit/decision/bottleneck_view_test.cc
+++ b/tests/unit/decision/bottleneck_view_test.cc
@@ -97,7 +97,7 @@
 }
 
 /// Guards against a ratio that stays low after an overload because of relays that the node no longer calls.
-BOOST_AUTO_TEST_CASE(relays_that_are_not_called_any_more_do_not_hold_the_level_down) {
+BOOST_AUTO_TEST_CASE(relays_that_are_no_longer_called_do_not_hold_the_ratio_down) {
     report("order", "n1", {50, 20, 20}, 50ms);
     report("order", "n2", {50, 20, 20}, 50ms);
     for (int round = 0; round < 7; ++round) {
@@ -108,7 +108,7 @@
 }
 
 /// Guards against an entry that keeps rejecting after an overload, when few admitted requests yield few reports.
-BOOST_AUTO_TEST_CASE(a_word_after_a_while_replaces_what_was_told_before) {
+BOOST_AUTO_TEST_CASE(a_report_after_a_pause_replaces_earlier_reports) {
     for (int round = 0; round < 20; ++round) {
         report("order", "n1", {10, 20, 10}, 50ms, {"leaf", 0.3, 88ms});
         time.advance(10ms);
--- a/tests/unit/decision/call_graph_test.cc
+++ b/tests/unit/decision/call_graph_test.cc
@@ -67,7 +67,7 @@
             }
             const auto& call = steps[next];
             const auto left = std::chrono::milliseconds(toMilliseconds(deadline - time.queue.now()));
-            repeat_shares[call.callee] +=
+            retry_probabilities[call.callee] +=
                 graph.onCall(time.queue.now() + 300us, call.callee, std::min<Duration>(left, call.usual))
                     .retry_probability;
             ++made[call.callee];
@@ -85,7 +85,7 @@
     tests::VirtualTime time;
     adapters::SeededRandom random{1};
     decision::CallGraph graph{{}};
-    std::map<std::string, double> repeat_shares;  ///< Sums of retry probabilities by callee.
+    std::map<std::string, double> retry_probabilities;  ///< Sums of retry probabilities by callee.
     std::map<std::string, int> made;
 };
 
@@ -103,7 +103,7 @@
 }
 
 /// Guards against attributing calls to a route that makes no calls but runs at the same time as a calling route.
-BOOST_AUTO_TEST_CASE(a_route_that_makes_no_calls_is_told_from_one_that_makes_many) {
+BOOST_AUTO_TEST_CASE(a_route_that_makes_no_calls_is_distinguished_from_one_that_makes_many) {
     arrive({"index", 35, 2s, 200ms, {{"below", 4, 700ms}}});
     arrive({"pack", 4, 1500ms, 130ms, {}});
     time.advance(10s);
@@ -160,7 +160,7 @@
     arrive({"check", 60, 2500ms, 250ms, {{"stock", 1, 2s}}, 0});
     arrive({"plain", 40, 1200ms, 100ms, {}, 1});  // This route makes no calls, so its probability must not count.
     time.advance(60s);
-    const double mean = repeat_shares["stock"] / made["stock"];
+    const double mean = retry_probabilities["stock"] / made["stock"];
     BOOST_TEST(std::abs(mean - 0.1) < 0.03, mean);
 }
 
--- a/tests/unit/fleet/failure_detector_test.cc
+++ b/tests/unit/fleet/failure_detector_test.cc
@@ -71,7 +71,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(unit_fleet_failure_detector, DetectorFixture)
 
-BOOST_AUTO_TEST_CASE(a_node_that_answers_is_not_probed) {
+BOOST_AUTO_TEST_CASE(a_node_that_responds_is_not_probed) {
     detector.onCallSent("a");
     for (int response = 0; response < 10; ++response) {
         time.advance(200ms);
@@ -83,7 +83,7 @@
     BOOST_TEST(unresponsive.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_quiet_node_that_answers_its_probe_is_not_suspected) {
+BOOST_AUTO_TEST_CASE(a_quiet_node_that_responds_to_its_probe_is_not_suspected) {
     detector.onCallSent("a");
     time.advance(1s);
     BOOST_TEST(nodes.sent >= 2);
@@ -102,7 +102,7 @@
     BOOST_TEST(isSuspected());
 }
 
-BOOST_AUTO_TEST_CASE(a_suspected_node_is_probed_ever_less_often_until_it_answers) {
+BOOST_AUTO_TEST_CASE(a_suspected_node_is_probed_ever_less_often_until_it_responds) {
     nodes.responds = false;
     directory.onUnreachable("a");
     time.advance(20s);
--- a/tests/unit/fleet/gossip_test.cc
+++ b/tests/unit/fleet/gossip_test.cc
@@ -195,7 +195,7 @@
 }
 
 /// Guards against a node that stays without the table because its first requests for the table get no response.
-BOOST_FIXTURE_TEST_CASE(a_node_that_does_not_answer_does_not_keep_the_table_from_others, FleetFixture) {
+BOOST_FIXTURE_TEST_CASE(an_unresponsive_node_does_not_keep_the_table_from_others, FleetFixture) {
     for (int i = 0; i < 2; ++i) {
         starting.gossip.exchangeWith("node-" + std::to_string(i));  // Table requests without a response yet.
     }
@@ -238,7 +238,7 @@
 }
 
 /// Guards against a table age that is derived from a request, since a request may have been delayed for any time.
-BOOST_AUTO_TEST_CASE(only_answers_tell_how_fresh_a_table_is) {
+BOOST_AUTO_TEST_CASE(only_responses_report_the_table_age) {
     right.lease.onRead(time.clock.now());
     time.advance(1s);
     right.gossip.exchangeWith("left");
--- a/tests/unit/fleet/node_directory_test.cc
+++ b/tests/unit/fleet/node_directory_test.cc
@@ -36,7 +36,7 @@
 }
 
 /// Guards against a restarted node whose records are ignored because other nodes hold a higher incarnation.
-BOOST_AUTO_TEST_CASE(a_node_goes_on_after_a_later_life_that_others_remember) {
+BOOST_AUTO_TEST_CASE(a_node_continues_after_a_later_incarnation_that_others_know) {
     int changes = 0;
     directory.signalSelfChanged().connect([&] { ++changes; });
     BOOST_TEST(!directory.merge(recordOf("self", 8, 2)));
--- a/tests/unit/fleet/rumor_queue_test.cc
+++ b/tests/unit/fleet/rumor_queue_test.cc
@@ -19,7 +19,7 @@
 }
 
 /// Guards against a rumor that is sent forever to unresponsive nodes.
-BOOST_AUTO_TEST_CASE(receivers_that_do_not_answer_end_a_rumor_as_well) {
+BOOST_AUTO_TEST_CASE(unresponsive_receivers_end_a_rumor_as_well) {
     fleet::RumorQueue queue({2, 3});
     queue.add("a");
     for (int i = 0; i < 3; ++i) {
--- a/tests/unit/platform/documents_fuzz_test.cc
+++ b/tests/unit/platform/documents_fuzz_test.cc
@@ -82,7 +82,7 @@
     BOOST_TEST(acknowledged > 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_mutated_message_of_a_node_is_answered_or_refused) {
+BOOST_AUTO_TEST_CASE(a_mutated_message_of_a_node_gets_a_response_or_is_refused) {
     google::protobuf::SetLogHandler(nullptr);
     tests::VirtualTime time;
     adapters::SeededRandom random(1);
--- a/tests/unit/relay/crash_detector_test.cc
+++ b/tests/unit/relay/crash_detector_test.cc
@@ -58,7 +58,7 @@
 BOOST_FIXTURE_TEST_SUITE(unit_relay_crash_detector, DetectorFixture)
 
 /// Guards against missed crashes, and against lost connections that are taken for a crash.
-BOOST_AUTO_TEST_CASE(a_crash_is_told_from_other_causes_of_lost_connections) {
+BOOST_AUTO_TEST_CASE(a_crash_is_distinguished_from_other_causes_of_lost_connections) {
     const struct {
         const char* name;
         std::size_t running;
