--- a/src/fleet/node_directory.cc
+++ b/src/fleet/node_directory.cc
@@ -311,15 +311,15 @@
             difference.older.push_back(version.name());
         }
     }
-    const auto addIfNewer = [&](const wire::NodeRecord& local) {
+    const auto add_if_newer = [&](const wire::NodeRecord& local) {
         const auto found = remote.find(local.name());
         if (found == remote.end() || isNewer(local, *found->second)) {
             difference.newer.push_back(local);
         }
     };
-    addIfNewer(self_);
+    add_if_newer(self_);
     for (const auto& [name, known] : others_) {
-        addIfNewer(known.record);
+        add_if_newer(known.record);
     }
     return difference;
 }
--- a/tests/soak/faults.cc
+++ b/tests/soak/faults.cc
@@ -124,16 +124,16 @@
     const auto kind =
         std::find_if(kinds().begin(), kinds().end(), [&](const Kind& it) { return fault.name == it.name; });
     std::vector<std::pair<std::size_t, std::size_t>> disturbed;  // Node number and disturbance number.
-    const auto beginDisturbance = [&](std::size_t node) {
+    const auto begin_disturbance = [&](std::size_t node) {
         disturbed.emplace_back(node, fleet_.observations().beginDisturbance(node, kind->terminates_process));
     };
     if (kind->scope == Scope::kNode) {
-        beginDisturbance(fault.node);
+        begin_disturbance(fault.node);
     } else if (kind->scope == Scope::kStore) {
-        beginDisturbance(kStoreIndex);
+        begin_disturbance(kStoreIndex);
     } else if (kind->scope == Scope::kAll) {
         for (std::size_t node = 0; node < fleet_.size(); ++node) {
-            beginDisturbance(node);
+            begin_disturbance(node);
         }
     }
     (this->*kind->begin)(fault.node);
