--- a/src/adapters/http_client.cc
+++ b/src/adapters/http_client.cc
@@ -7,12 +7,12 @@
 
 namespace dewcrank::adapters {
 
-/// One attempt: owns its connection while it runs.
+/// One attempt. Owns a connection until the response, a failure or a timeout.
 class HttpClient::Exchange : public Attempt, private ClientConnection::Listener {
 public:
     Exchange(HttpClient& client, HttpRequest request, Callback callback)
         : client_(client), request_(std::move(request)), callback_(std::move(callback)) {}
-    ~Exchange() override { drop(); }
+    ~Exchange() override { releaseConnection(); }
     Exchange(const Exchange&) = delete;
     Exchange& operator=(const Exchange&) = delete;
 
@@ -20,7 +20,7 @@
         timeout_ = timeout;
         connection_ = client_.takeConnection(address);
         if (connection_ == nullptr || !isAllowedMethod(request_.method)) {
-            drop();
+            releaseConnection();
             finishLater({AttemptOutcome::kNotSent, {}, "bad-address-or-method"});
             return;
         }
@@ -30,7 +30,7 @@
             return;
         }
         if (!connection_->connect()) {
-            drop();
+            releaseConnection();
             finishLater({AttemptOutcome::kNotSent, {}, "connect-failed"});
             return;
         }
@@ -46,44 +46,44 @@
         timer_ = client_.loop_.startTimer(timeout_, [this] { onTimeout(); });
     }
 
-    void onAnswer(HttpAnswer answer) override {
+    void onResponse(HttpResponse response) override {
         auto connection = std::move(connection_);
         if (connection->isReusable()) {
             client_.keepConnection(std::move(connection));
         } else {
-            client_.dropLater(std::move(connection));
+            client_.destroyLater(std::move(connection));
         }
-        finish({AttemptOutcome::kAnswered, std::move(answer), ""});
+        finish({AttemptOutcome::kResponded, std::move(response), ""});
     }
 
-    void onBroken(const std::string& reason) override {
-        drop();
-        finishLater(withoutAnswer(is_sent_ ? reason : "connect-failed"));
+    void onFailed(const std::string& reason) override {
+        releaseConnection();
+        finishLater(failureResult(is_sent_ ? reason : "connect-failed"));
     }
 
     void onTimeout() {
-        drop();
-        finish(withoutAnswer(std::string(kTimedOut)));
+        releaseConnection();
+        finish(failureResult(std::string(kTimedOut)));
     }
 
-    [[nodiscard]] AttemptResult withoutAnswer(std::string reason) const {
+    [[nodiscard]] AttemptResult failureResult(std::string reason) const {
         return {is_sent_ ? AttemptOutcome::kUnknown : AttemptOutcome::kNotSent, {}, std::move(reason)};
     }
 
-    void drop() {
+    void releaseConnection() {
         if (connection_ != nullptr) {
             connection_->setListener(nullptr);
-            client_.dropLater(std::move(connection_));
+            client_.destroyLater(std::move(connection_));
         }
     }
 
-    /// Failures may come from inside `send`; the callback must not.
+    /// Reports from the loop: a failure may occur inside `send`, where the callback must not run.
     void finishLater(AttemptResult result) {
         timer_ = client_.loop_.startTimer(Duration::zero(),
                                           [this, result = std::move(result)]() mutable { finish(std::move(result)); });
     }
 
-    /// The callback may destroy this attempt.
+    /// The callback may destroy this object.
     void finish(AttemptResult result) {
         timer_.reset();
         const auto callback = std::exchange(callback_, nullptr);
@@ -110,45 +110,44 @@
     return exchange;
 }
 
-/// The connection that was idle last comes first, so that the others can grow old and end.
+/// Reuses the most recently used connection first, so that surplus connections reach their idle limit.
 std::unique_ptr<ClientConnection> HttpClient::takeConnection(const std::string& address) {
     auto& idle = idle_[address];
     while (!idle.empty()) {
         auto connection = std::move(idle.back());
         idle.pop_back();
-        if (connection->isFresh(loop_.now())) {
+        if (connection->isWithinIdleTime(loop_.now())) {
             return connection;
         }
-        dropLater(std::move(connection));
+        destroyLater(std::move(connection));
     }
     return std::make_unique<ClientConnection>(*this, address);
 }
 
 void HttpClient::keepConnection(std::unique_ptr<ClientConnection> connection) {
     auto& idle = idle_[connection->address()];
-    if (idle.size() >= options_.idle_per_address) {
-        dropLater(std::move(connection));
+    if (idle.size() >= options_.max_idle_per_address) {
+        destroyLater(std::move(connection));
         return;
     }
     connection->markIdle(loop_.now());
     idle.push_back(std::move(connection));
 }
 
-void HttpClient::onIdleEnded(ClientConnection* connection) {
+void HttpClient::onIdleClosed(ClientConnection* connection) {
     auto& idle = idle_[connection->address()];
     const auto found =
         std::find_if(idle.begin(), idle.end(), [&](const auto& candidate) { return candidate.get() == connection; });
     if (found != idle.end()) {
-        dropLater(std::move(*found));
+        destroyLater(std::move(*found));
         idle.erase(found);
     }
 }
 
-/// A connection may still be on the stack when it is dropped, so it is freed from the loop.
-void HttpClient::dropLater(std::unique_ptr<ClientConnection> connection) {
-    dropped_.push_back(std::move(connection));
-    if (dropped_.size() == 1) {
-        drop_timer_ = loop_.startTimer(Duration::zero(), [this] { dropped_.clear(); });
+void HttpClient::destroyLater(std::unique_ptr<ClientConnection> connection) {
+    to_destroy_.push_back(std::move(connection));
+    if (to_destroy_.size() == 1) {
+        destroy_timer_ = loop_.startTimer(Duration::zero(), [this] { to_destroy_.clear(); });
     }
 }
 
--- a/src/entry/relay_selector.h
+++ b/src/entry/relay_selector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Chooses the relay that a request goes to, by load, zone and what failed lately.
+/// Load balancing over the relays of a service, by load, zone and recent failures.
 #pragma once
 
 #include <set>
@@ -14,74 +14,76 @@
 
 namespace dewcrank::entry {
 
-/// Constants of the choice. A relay's cost is its use (busy and waiting over slots) plus these.
+/// Constants of the cost of a relay: its utilization (running and waiting requests per slot) plus these terms.
 struct SelectorKnobs {
-    double other_zone_cost = 0.6;
-    double cold_cost = 0.3;
-    double cold_factor = 2.0;     ///< A cold instance is about this much slower.
-    double random_cost = 0.05;    ///< Uniform up to this: keeps entries from choosing alike.
-    double suspected_cost = 100;  ///< Chosen only if there is no other.
-    Duration load_memory = 2s;    ///< Reported loads fade over this time.
-    /// Of a relay all of whose calls fail lately; less in proportion. Such a relay goes on getting
-    /// some calls as its cost fades, so that its recovery is seen.
-    double failure_cost = 3;
-    Duration failure_memory = 2s;
+    double other_zone_cost = 0.6;   ///< Falls to zero as the utilization rises from 0.5 to 1.
+    double cold_cost = 0.3;         ///< Added for a cold instance.
+    double cold_factor = 2.0;       ///< Multiplies the utilization of a cold instance, which is slower.
+    double max_random_cost = 0.05;  ///< Uniform from zero to this; keeps entries from choosing the same relay.
+    double suspected_cost = 100;    ///< Added for a suspected relay, so that any other one is preferred.
+    Duration load_decay = 2s;       ///< Weight of a reported load falls linearly to zero over this time.
+    double failure_cost = 3;        ///< Multiplies the decaying mean of recent failures, from 0 to 1.
+    Duration failure_decay = 2s;    ///< Decay time of that mean.
 };
 
 /// Where a request is sent.
 struct RelayTarget {
-    std::string node;
-    std::string address;
-    std::string instance;
-    bool is_stopping = false;  ///< There is no other: its relay takes what it can still end.
+    std::string node;          ///< Node name; empty: no relay can be chosen.
+    std::string address;       ///< Address of the node.
+    std::string instance;      ///< Id of the node's instance.
+    bool is_stopping = false;  ///< The relay is stopping, and the only choice.
 };
 
-/// Knows the loads that relays report beside their answers, and what this node has sent since.
+/// Estimates the load of each relay from its last report and from what this node has sent since.
 class RelaySelector {
 public:
     RelaySelector(Clock& clock, RandomSource& random, const fleet::NodeDirectory& directory, SelectorKnobs knobs);
 
-    /// The relay of least cost for a service; one that is stopping only if there is no other: while the nodes of a
-    /// service are stopped in turn, callers would be refused though their instances are there.
+    /// Chooses the relay of least cost for a service. A stopping relay is chosen only if there is no other, so that a
+    /// rolling restart rejects no requests.
     /// @param excluded names of nodes not to choose.
-    /// @return a target without a node if there is none.
+    /// @return a target with an empty node if there is none.
     RelayTarget choose(const std::string& service, const std::set<std::string>& excluded);
-    /// True if a relay serves the service, be it that it is stopping.
+    /// True if any relay serves the service, stopping ones included.
     [[nodiscard]] bool hasRelay(const std::string& service) const;
-    /// True if a relay of the service that is not suspected is left beside the excluded ones.
-    [[nodiscard]] bool hasReachable(const std::string& service, const std::set<std::string>& excluded) const;
+    /// True if a relay serves the service that is neither excluded, suspected nor stopping.
+    [[nodiscard]] bool hasReachableRelay(const std::string& service, const std::set<std::string>& excluded) const;
+    /// Call when an attempt was sent to the relay of a node.
     void onSent(const std::string& node);
+    /// Call when the attempt has ended, for whatever reason.
     void onEnded(const std::string& node);
+    /// Call when the relay of a node has reported its load.
     void onLoad(const std::string& node, const relay::QueueLoad& load);
-    /// A call that an instance was sent has ended. @param has_failed the instance answered with a
-    /// failure of its own, spoiled its answer, or gave none.
+    /// Call when the result of a request that was sent to a node's instance is known. @param has_failed true if the
+    /// instance responded with a failure of its own, or sent no complete response.
     void onOutcome(const std::string& node, bool has_failed);
-    /// Relays that serve a service now.
+    /// @return the number of relays that serve a service and are not stopping.
     [[nodiscard]] std::size_t relayCount(const std::string& service) const;
 
 private:
-    struct Seen {
-        explicit Seen(Duration failure_memory) : failures(failure_memory) {}
+    /// Load and failures of one relay.
+    struct RelayStats {
+        explicit RelayStats(Duration failure_decay) : failures(failure_decay) {}
         relay::QueueLoad load;
-        TimePoint reported{};
-        int in_flight = 0;
-        int in_flight_at_report = 0;
-        DecayingMean failures;  ///< 1 for each call that failed, 0 for each other.
+        TimePoint reported_at{};
+        int in_flight = 0;            ///< Attempts sent by this node that have not ended.
+        int in_flight_at_report = 0;  ///< `in_flight` at `reported_at`.
+        DecayingMean failures;        ///< 1 for each call that failed, 0 for each other.
     };
     [[nodiscard]] static bool serves(const wire::NodeRecord& record, const std::string& service);
     [[nodiscard]] static bool serves(const fleet::KnownNode& node, const std::string& service) {
-        return !node.is_displaced && serves(node.record, service);
+        return !node.is_superseded && serves(node.record, service);
     }
     [[nodiscard]] static bool servesWhileStopping(const wire::NodeRecord& record, const std::string& service);
-    /// A relay that may be chosen, as the directory knows it.
+    /// A relay that may be chosen, from the directory.
     struct Candidate {
         const wire::NodeRecord& record;
-        std::size_t number;
+        std::size_t ordinal;  ///< Index of its node in the directory.
         Duration cold_left;
         bool is_suspected;
     };
-    Seen& seenOf(std::size_t number);
-    Seen& seenOf(const std::string& node) { return seenOf(directory_.numberOf(node)); }
+    RelayStats& statsOf(std::size_t ordinal);
+    RelayStats& statsOf(const std::string& node) { return statsOf(directory_.ordinalOf(node)); }
     double costOf(TimePoint now, const Candidate& candidate);
     [[nodiscard]] RelayTarget chooseStopping(const std::string& service, const std::set<std::string>& excluded) const;
 
@@ -89,7 +91,7 @@
     RandomSource& random_;
     const fleet::NodeDirectory& directory_;
     SelectorKnobs knobs_;
-    std::vector<Seen> seen_;  ///< By the directory's number of the node.
+    std::vector<RelayStats> stats_;  ///< Indexed by the node's ordinal in the directory; 0 is this node.
 };
 
 }  // namespace dewcrank::entry
--- a/src/fleet/gossip.cc
+++ b/src/fleet/gossip.cc
@@ -11,14 +11,14 @@
 
 namespace {
 
-/// Stands for the table among the rumors: each message tells its version anyway.
+/// Rumor of the table: the empty name of no record, as every message carries the table version.
 const std::string kTableRumor;
-/// Tries to find a node that is not suspected, for each that is wanted.
-constexpr std::size_t kTriesForReachable = 4;
+/// Random draws per wanted node, as suspected nodes are skipped.
+constexpr std::size_t kTriesPerNode = 4;
 
 }  // namespace
 
-Gossip::Gossip(Clock& clock, RandomSource& random, EventLog& log, BackEndPort& nodes, NodeDirectory& directory,
+Gossip::Gossip(Clock& clock, RandomSource& random, EventLog& log, HttpTransport& nodes, NodeDirectory& directory,
                policy::RouteTable& table, policy::TableLease& lease, GossipKnobs knobs)
     : clock_(clock),
       random_(random),
@@ -30,10 +30,11 @@
       knobs_(knobs),
       rumors_(knobs.rumors) {
     directory_.signalSelfChanged().connect(
-        [this] { spread(directory_.self().name(), knobs_.first_fanout, Duration::zero()); });
-    directory_.signalAddressShared().connect(
-        [this](const std::string& former, const std::string& latter) { settleAddress(former, latter); });
-    table_.signalAdopted().connect([this] { spreadTable(); });
+        [this] { queueRumor(directory_.self().name(), knobs_.self_change_fanout, Duration::zero()); });
+    directory_.signalAddressConflict().connect([this](const std::string& previous, const std::string& claimant) {
+        resolveAddressConflict(previous, claimant);
+    });
+    table_.signalAdopted().connect([this] { pushTable(); });
 }
 
 void Gossip::start() {
@@ -41,16 +42,17 @@
 }
 
 void Gossip::scheduleNext() {
-    tick_timer_ = clock_.startTimer(spreadOut(knobs_.interval), [this] { tick(); });
+    tick_timer_ = clock_.startTimer(jitter(knobs_.interval), [this] { tick(); });
 }
 
-/// From half of an interval to one and a half: nodes do not stay in step.
-Duration Gossip::spreadOut(Duration interval) {
+/// Uniform from 0.5 to 1.5 of an interval, so that nodes do not synchronize.
+Duration Gossip::jitter(Duration interval) {
     return interval / 2 +
            Duration(static_cast<std::int64_t>(random_.below(static_cast<std::uint64_t>(interval.count()))));
 }
 
-/// With any node, also one that was lost: whoever finds it alive again brings it up to date.
+/// Starts an exchange with a random node. Suspected nodes are included, so that a node that responds again receives
+/// the changes that it has missed.
 void Gossip::tick() {
     if (directory_.otherCount() > 0) {
         exchangeWith(directory_.other(random_.below(directory_.otherCount())).record.name());
@@ -58,10 +60,10 @@
     scheduleNext();
 }
 
-/// Different nodes, as many of them as can be had without suspected ones.
-std::vector<std::string> Gossip::randomNodes(std::size_t most) {
+/// @return names of random nodes that are not suspected, each once; fewer than `limit` if the draws run out.
+std::vector<std::string> Gossip::randomNodes(std::size_t limit) {
     std::set<std::string> names;
-    for (std::size_t tries = most * kTriesForReachable; tries > 0 && names.size() < most; --tries) {
+    for (std::size_t tries = limit * kTriesPerNode; tries > 0 && names.size() < limit; --tries) {
         if (directory_.otherCount() == 0) {
             break;
         }
@@ -73,7 +75,7 @@
     return {names.begin(), names.end()};
 }
 
-wire::Gossip Gossip::message() const {
+wire::Gossip Gossip::makeMessage() const {
     wire::Gossip message;
     message.set_sender(directory_.self().name());
     message.set_sender_address(directory_.self().address());
@@ -87,116 +89,118 @@
 
 // Rumors ---------------------------------------------------------------------
 
-/// Something is news here. A round that is due earlier takes it along.
-void Gossip::spread(const std::string& name, std::size_t fanout, Duration wait) {
+/// Adds a rumor to the next round, which is sent now if `wait` is zero, else after `wait` unless one is scheduled.
+void Gossip::queueRumor(const std::string& name, std::size_t fanout, Duration wait) {
     rumors_.add(name);
-    const bool is_earlier = wait == Duration::zero();
-    if (fanout_ == 0 || is_earlier) {
-        rumor_timer_ = clock_.startTimer(wait, [this] { tellRumors(); });
+    const bool is_immediate = wait == Duration::zero();
+    if (next_fanout_ == 0 || is_immediate) {
+        rumor_timer_ = clock_.startTimer(wait, [this] { sendRumorRound(); });
     }
-    fanout_ = std::max(fanout_, fanout);
+    next_fanout_ = std::max(next_fanout_, fanout);
 }
 
-/// More nodes than a round of rumors tells, and without the records that are due with it: each of those would be told
-/// to as many at once, and be dropped early for being known.
-void Gossip::spreadTable() {
+/// Sends the table version to table_fanout nodes without the queued records, which would be dropped too early
+/// as already known.
+void Gossip::pushTable() {
     for (const auto& node : randomNodes(knobs_.table_fanout)) {
-        tell(node, {});
+        sendRumors(node, {});
     }
-    spread(kTableRumor, knobs_.rumor_fanout, Duration::zero());
+    queueRumor(kTableRumor, knobs_.rumor_fanout, Duration::zero());
 }
 
-void Gossip::tellRumors() {
-    const auto fanout = std::exchange(fanout_, 0);
-    const auto names = rumors_.next(knobs_.most_records);
+void Gossip::sendRumorRound() {
+    const auto fanout = std::exchange(next_fanout_, 0);
+    const auto names = rumors_.next(knobs_.max_records);
     for (const auto& node : randomNodes(fanout)) {
-        tell(node, names);
+        sendRumors(node, names);
     }
     if (!rumors_.empty()) {
-        fanout_ = knobs_.rumor_fanout;
-        rumor_timer_ = clock_.startTimer(spreadOut(knobs_.rumor_interval), [this] { tellRumors(); });
+        next_fanout_ = knobs_.rumor_fanout;
+        rumor_timer_ = clock_.startTimer(jitter(knobs_.rumor_interval), [this] { sendRumorRound(); });
     }
 }
 
-void Gossip::tell(const std::string& node, const std::vector<std::string>& names) {
-    auto rumor = message();
+void Gossip::sendRumors(const std::string& node, const std::vector<std::string>& names) {
+    auto rumor = makeMessage();
     rumor.set_is_rumor(true);
-    std::vector<std::string> told;
+    std::vector<std::string> sent_names;
     for (const auto& name : names) {
-        rumors_.onTold(name);
+        rumors_.onSent(name);
         if (const auto* record = directory_.record(name)) {
             *rumor.add_records() = *record;
-            told.push_back(name);
+            sent_names.push_back(name);
         }
     }
-    send(node, rumor, [this, told = std::move(told)](const wire::Gossip* answer) { onTold(told, answer); });
+    send(node, rumor, [this, sent_names = std::move(sent_names)](const wire::Gossip* response) {
+        onRumorResponse(sent_names, response);
+    });
 }
 
-void Gossip::onTold(const std::vector<std::string>& names, const wire::Gossip* answer) {
-    if (answer == nullptr) {
+void Gossip::onRumorResponse(const std::vector<std::string>& names, const wire::Gossip* response) {
+    if (response == nullptr) {
         return;
     }
-    for (const auto place : answer->known()) {
-        if (place < names.size()) {
-            rumors_.onUseless(names[place]);
+    for (const auto index : response->known()) {
+        if (index < names.size()) {
+            rumors_.onAlreadyKnown(names[index]);
         }
     }
-    if (answer->table_version() >= table_.version()) {
-        rumors_.onUseless(kTableRumor);
+    if (response->table_version() >= table_.version()) {
+        rumors_.onAlreadyKnown(kTableRumor);
     }
 }
 
 // Exchanges ------------------------------------------------------------------
 
-void Gossip::introduceSelf() {
-    spread(directory_.self().name(), knobs_.first_fanout, Duration::zero());
-    for (const auto& name : randomNodes(knobs_.first_exchanges)) {
+void Gossip::announceSelf() {
+    queueRumor(directory_.self().name(), knobs_.self_change_fanout, Duration::zero());
+    for (const auto& name : randomNodes(knobs_.initial_exchanges)) {
         exchangeWith(name);
     }
 }
 
-/// While the directories agree an exchange is one small message each way, however large the fleet.
+/// Sends a hash of the directory first; the digest follows only if the receiver's hash differs.
 void Gossip::exchangeWith(const std::string& name) {
     if (directory_.find(name) == nullptr || !exchanging_.insert(name).second) {
         return;
     }
-    auto exchange = message();
+    auto exchange = makeMessage();
     exchange.set_directory_hash(directory_.hash());
-    if (asked_for_table_.size() < knobs_.most_table_requests) {
+    if (table_requests_.size() < knobs_.max_table_requests) {
         exchange.set_is_table_wanted(true);
-        asked_for_table_.insert(name);
+        table_requests_.insert(name);
     }
-    send(name, exchange, [this, name](const wire::Gossip* answer) {
-        if (answer != nullptr && answer->is_digest_wanted()) {
-            asked_for_table_.erase(name);
+    send(name, exchange, [this, name](const wire::Gossip* response) {
+        if (response != nullptr && response->is_digest_wanted()) {
+            table_requests_.erase(name);
             sendDigest(name);
         } else {
-            exchangeEnded(name);
+            onExchangeEnded(name);
         }
     });
 }
 
-void Gossip::exchangeEnded(const std::string& name) {
+void Gossip::onExchangeEnded(const std::string& name) {
     exchanging_.erase(name);
-    asked_for_table_.erase(name);
+    table_requests_.erase(name);
 }
 
 void Gossip::sendDigest(const std::string& name) {
-    auto exchange = message();
+    auto exchange = makeMessage();
     for (auto& version : directory_.digest()) {
         *exchange.add_digest() = std::move(version);
     }
-    send(name, exchange, [this, name](const wire::Gossip* answer) {
-        exchangeEnded(name);
-        if (answer != nullptr && answer->wanted_size() > 0) {
-            sendWanted(name, *answer);
+    send(name, exchange, [this, name](const wire::Gossip* response) {
+        onExchangeEnded(name);
+        if (response != nullptr && response->wanted_size() > 0) {
+            sendRequested(name, *response);
         }
     });
 }
 
-void Gossip::sendWanted(const std::string& name, const wire::Gossip& answer) {
-    auto reply = message();
-    for (const auto& wanted : answer.wanted()) {
+void Gossip::sendRequested(const std::string& name, const wire::Gossip& response) {
+    auto reply = makeMessage();
+    for (const auto& wanted : response.wanted()) {
         if (const auto* record = directory_.record(wanted)) {
             *reply.add_records() = *record;
         }
@@ -204,128 +208,131 @@
     send(name, reply, nullptr);
 }
 
-void Gossip::askForTableAge(std::size_t nodes) {
+void Gossip::requestTableAge(std::size_t nodes) {
     for (const auto& name : randomNodes(nodes)) {
-        send(name, message(), nullptr);
+        send(name, makeMessage(), nullptr);
     }
 }
 
 void Gossip::contact(const std::string& address, std::function<void(bool)> done) {
-    sendTo(address, "", message(), knobs_.timeout, [this, done = std::move(done)](const wire::Gossip* answer) {
-        const bool is_other = answer != nullptr && answer->sender() != directory_.self().name();
+    sendTo(address, "", makeMessage(), knobs_.timeout, [this, done = std::move(done)](const wire::Gossip* response) {
+        const bool is_other = response != nullptr && response->sender() != directory_.self().name();
         if (is_other) {
-            spread(directory_.self().name(), knobs_.first_fanout, Duration::zero());
-            exchangeWith(answer->sender());
+            queueRumor(directory_.self().name(), knobs_.self_change_fanout, Duration::zero());
+            exchangeWith(response->sender());
         }
         done(is_other);
     });
 }
 
 void Gossip::probe(const std::string& name, Duration timeout, std::function<void(bool)> done) {
-    send(name, message(), timeout, [done = std::move(done)](const wire::Gossip* answer) { done(answer != nullptr); });
+    send(name, makeMessage(), timeout,
+         [done = std::move(done)](const wire::Gossip* response) { done(response != nullptr); });
 }
 
-void Gossip::send(const std::string& name, const wire::Gossip& message, Sent done) {
+void Gossip::send(const std::string& name, const wire::Gossip& message, OnResponse done) {
     send(name, message, knobs_.timeout, std::move(done));
 }
 
-void Gossip::send(const std::string& name, const wire::Gossip& message, Duration timeout, Sent done) {
+void Gossip::send(const std::string& name, const wire::Gossip& message, Duration timeout, OnResponse done) {
     if (const auto* node = directory_.find(name)) {
         sendTo(node->record.address(), name, message, timeout, std::move(done));
     }
 }
 
-/// @param name of the node that is to answer; empty if any may.
+/// @param name of the expected responder; empty if any node may respond.
 void Gossip::sendTo(const std::string& address, const std::string& name, const wire::Gossip& message, Duration timeout,
-                    Sent done) {
+                    OnResponse done) {
     HttpRequest request;
     request.method = "POST";
     request.path = std::string(kGossipPath);
     request.headers.set("Content-Type", "application/x-protobuf");
     request.body = message.SerializeAsString();
-    const auto number = ++last_number_;
-    in_flight_[number] =
+    const auto attempt_id = ++last_attempt_id_;
+    in_flight_[attempt_id] =
         nodes_.send(address, std::move(request), timeout,
-                    [this, number, name, sent = clock_.now(), done = std::move(done)](const AttemptResult& result) {
-                        const auto ended = in_flight_.extract(number);
-                        onAnswer(name, sent, result, done);
+                    [this, attempt_id, name, sent = clock_.now(), done = std::move(done)](const AttemptResult& result) {
+                        const auto ended = in_flight_.extract(attempt_id);
+                        onResponse(name, sent, result, done);
                     });
 }
 
-/// What another node answers at the address is its own word, and none of the node that was asked.
-void Gossip::onAnswer(const std::string& name, TimePoint sent, const AttemptResult& result, const Sent& done) {
-    wire::Gossip answer;
-    const bool is_answered = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
-                             answer.ParseFromString(result.answer.body);
-    const bool is_its_own =
-        is_answered && (answer.sender() == name || name.empty() || knobs_.weakening.trusts_any_answer);
-    if (is_its_own && !name.empty()) {
+/// A response counts as contact with the node that its sender field names, which may not be the expected one: an
+/// address can be reassigned.
+void Gossip::onResponse(const std::string& name, TimePoint sent, const AttemptResult& result, const OnResponse& done) {
+    wire::Gossip response;
+    const bool has_response = result.outcome == AttemptOutcome::kResponded && result.response.status == kHttpOk &&
+                              response.ParseFromString(result.response.body);
+    const bool is_expected_sender =
+        has_response && (response.sender() == name || name.empty() || knobs_.disabled.peer_name_check);
+    if (is_expected_sender && !name.empty()) {
         directory_.onReached(name);
     }
-    if (is_answered) {
-        directory_.addAddress(answer.sender(), "", answer.sender_address());
-        directory_.onReached(answer.sender());
-        mergeAll(answer, nullptr);
-        if (answer.has_table_age_us()) {
-            const Duration age(static_cast<std::int64_t>(answer.table_age_us()));
-            lease_.onPeer(sent, age, answer.table_version(), table_.version());
+    if (has_response) {
+        directory_.addAddress(response.sender(), "", response.sender_address());
+        directory_.onReached(response.sender());
+        mergeMessage(response, nullptr);
+        if (response.has_table_age_us()) {
+            const Duration age(static_cast<std::int64_t>(response.table_age_us()));
+            lease_.onPeerResponse(sent, age, response.table_version(), table_.version());
         }
     }
-    if (is_answered && !is_its_own) {
-        log_.write(Event("node_displaced").with("peer", name).with("by", answer.sender()));
-        directory_.onDisplaced(name);
-    } else if (!is_answered) {
+    if (has_response && !is_expected_sender) {
+        log_.write(Event("node_displaced").with("peer", name).with("by", response.sender()));
+        directory_.onSuperseded(name);
+    } else if (!has_response) {
         directory_.onUnreachable(name);
     }
     if (done) {
-        done(is_its_own ? &answer : nullptr);
+        done(is_expected_sender ? &response : nullptr);
     }
 }
 
-/// Whoever answers at the address holds it, the other one does not.
-void Gossip::settleAddress(const std::string& former, const std::string& latter) {
-    probe(former, knobs_.timeout, [this, former, latter](bool is_former) {
-        const auto* one = directory_.find(former);
-        const auto* other = directory_.find(latter);
-        const bool is_shared = one != nullptr && other != nullptr && one->record.address() == other->record.address();
-        if (is_former && is_shared) {
-            directory_.onDisplaced(latter);
+/// Probes the shared address: the node that responds keeps it, the other one is superseded.
+void Gossip::resolveAddressConflict(const std::string& previous, const std::string& claimant) {
+    probe(previous, knobs_.timeout, [this, previous, claimant](bool has_previous_responded) {
+        const auto* first = directory_.find(previous);
+        const auto* second = directory_.find(claimant);
+        const bool is_shared =
+            first != nullptr && second != nullptr && first->record.address() == second->record.address();
+        if (has_previous_responded && is_shared) {
+            directory_.onSuperseded(claimant);
         }
     });
 }
 
-/// @param reply told which records were no news; null for an answer.
-void Gossip::mergeAll(const wire::Gossip& message, wire::Gossip* reply) {
-    for (int place = 0; place < message.records_size(); ++place) {
-        const auto& record = message.records(place);
-        const bool is_news = directory_.merge(record);
-        if (is_news && message.is_rumor()) {
-            spread(record.name(), knobs_.rumor_fanout, spreadOut(knobs_.rumor_interval));
-        } else if (!is_news && reply != nullptr && message.is_rumor()) {
-            reply->add_known(static_cast<std::uint32_t>(place));
+/// @param reply receives the indexes of rumors that were already known; null if `message` is a response.
+void Gossip::mergeMessage(const wire::Gossip& message, wire::Gossip* reply) {
+    for (int index = 0; index < message.records_size(); ++index) {
+        const auto& record = message.records(index);
+        const bool is_new = directory_.merge(record);
+        if (is_new && message.is_rumor()) {
+            queueRumor(record.name(), knobs_.rumor_fanout, jitter(knobs_.rumor_interval));
+        } else if (!is_new && reply != nullptr && message.is_rumor()) {
+            reply->add_known(static_cast<std::uint32_t>(index));
         }
     }
     directory_.onTableVersion(message.sender(), message.table_version());
     onStoreEra(message.store_era());
     if (message.has_table()) {
-        adopt(message.table(), message.sender());
+        adoptTable(message.table(), message.sender());
     }
 }
 
-void Gossip::adopt(const wire::RouteTable& table, const std::string& from) {
+void Gossip::adoptTable(const wire::RouteTable& table, const std::string& from) {
     if (table_.adopt(table)) {
         log_.write(Event("table_adopted").with("version", table.version()).with("from", from));
     }
 }
 
 void Gossip::onStoreEra(std::uint64_t era) {
-    if (era <= store_era_ || knobs_.weakening.ignores_store_era) {
+    if (era <= store_era_ || knobs_.disabled.store_era_check) {
         return;
     }
-    const auto former = std::exchange(store_era_, era);
-    if (former > 0) {
+    const auto previous = std::exchange(store_era_, era);
+    if (previous > 0) {
         log_.write(Event("store_returned").with("era", era));
-        signal_store_returned_.emit();
+        signal_store_restored_.emit();
     }
 }
 
@@ -336,18 +343,18 @@
     }
 }
 
-HttpAnswer Gossip::handle(const HttpRequest& request) {
-    HttpAnswer answer;
+HttpResponse Gossip::handle(const HttpRequest& request) {
+    HttpResponse response;
     wire::Gossip received;
     if (!received.ParseFromString(request.body)) {
         log_.write(Event("gossip_refused").with("step", "parse").with("bytes", request.body.size()));
-        answer.status = kHttpBadRequest;
-        return answer;
+        response.status = kHttpBadRequest;
+        return response;
     }
     directory_.addAddress(received.sender(), "", received.sender_address());
-    directory_.onHeard(received.sender());
-    auto reply = message();
-    mergeAll(received, &reply);
+    directory_.onMessageReceived(received.sender());
+    auto reply = makeMessage();
+    mergeMessage(received, &reply);
     if (received.digest_size() > 0) {
         const auto difference = directory_.differenceTo({received.digest().begin(), received.digest().end()});
         for (const auto& record : difference.newer) {
@@ -358,15 +365,15 @@
         }
     }
     if (received.is_table_wanted() && received.table_version() < table_.version()) {
-        *reply.mutable_table() = table_.whole();
+        *reply.mutable_table() = table_.contents();
     }
     reply.set_is_digest_wanted(received.directory_hash() != 0 && received.directory_hash() != directory_.hash());
     if (table_.onVersionSeen(received.table_version())) {
         exchangeWith(received.sender());
     }
-    answer.status = kHttpOk;
-    answer.body = reply.SerializeAsString();
-    return answer;
+    response.status = kHttpOk;
+    response.body = reply.SerializeAsString();
+    return response;
 }
 
 }  // namespace dewcrank::fleet
--- a/src/policy/table_lease.cc
+++ b/src/policy/table_lease.cc
@@ -8,9 +8,9 @@
     confirmed_ = std::max(confirmed_.value_or(sent), sent);
 }
 
-void TableLease::onPeer(TimePoint asked, Duration age, std::uint64_t theirs, std::uint64_t mine) {
-    if (mine >= theirs && age >= Duration::zero()) {
-        onRead(asked - age);
+void TableLease::onPeerResponse(TimePoint sent, Duration age, std::uint64_t peer_version, std::uint64_t own_version) {
+    if (own_version >= peer_version && age >= Duration::zero()) {
+        onRead(sent - age);
     }
 }
 
@@ -19,12 +19,12 @@
 }
 
 bool TableLease::isValid(TimePoint now) const {
-    if (!isRequired() || knobs_.weakening.ignores_table_age) {
+    if (!isRequired() || knobs_.disabled.table_age_check) {
         return true;
     }
     const auto known = age(now);
-    const auto most = std::chrono::duration_cast<Duration>(knobs_.revocation * (1 - knobs_.margin_share));
-    return known && *known < most;
+    const auto max_age = std::chrono::duration_cast<Duration>(knobs_.revocation * (1 - knobs_.margin_share));
+    return known && *known < max_age;
 }
 
 }  // namespace dewcrank::policy
--- a/src/relay/relay_service.h
+++ b/src/relay/relay_service.h
@@ -1,5 +1,6 @@
 /// @file
-/// The only door to the instance beside a node: queue, repeat budget, one send, checked answer.
+/// Access to the co-located instance: admission queue, retry budget, one attempt per request, and validation of the
+/// response.
 #pragma once
 
 #include <sigc++/sigc++.h>
@@ -12,24 +13,24 @@
 #include <string>
 #include <vector>
 
+#include "src/base/disabled_mechanisms.h"
 #include "src/base/header_names.h"
 #include "src/base/http_message.h"
-#include "src/base/weakening.h"
 #include "src/decision/bottleneck_view.h"
 #include "src/decision/call_graph.h"
 #include "src/decision/instance_demand.h"
 #include "src/decision/usual_deadlines.h"
 #include "src/instance/local_instance.h"
-#include "src/ports/back_end_port.h"
 #include "src/ports/clock.h"
 #include "src/ports/event_log.h"
+#include "src/ports/http_transport.h"
 #include "src/quarantine/quarantine.h"
-#include "src/quarantine/run_ledger.h"
-#include "src/relay/caller_census.h"
-#include "src/relay/crash_watch.h"
+#include "src/quarantine/run_tracker.h"
+#include "src/relay/crash_detector.h"
 #include "src/relay/instance_queue.h"
+#include "src/relay/internal_route_detector.h"
 #include "src/relay/relay_message.h"
-#include "src/relay/relay_repeats.h"
+#include "src/relay/relay_retries.h"
 #include "src/relay/suspect_trials.h"
 
 namespace dewcrank::relay {
@@ -37,116 +38,118 @@
 /// Constants of a relay.
 struct RelayKnobs {
     QueueKnobs queue;
-    decision::RepeatBound repeats;
-    /// Less time than this left: the request is not sent.
-    Duration least_remaining = 5ms;
-    /// Inner calls may wait for this part of the time that they have left: what was done for
-    /// them would be wasted.
-    double inner_wait_share = 0.6;
-    /// Each step of priority counts like this much longer in the queue.
-    Duration priority_step = 100ms;
-    /// A suspect waits for its turn for this part of the time that it has left: its caller has lost one run
-    /// already, and all that is left is to be tried in time.
-    double trial_wait_share = 0.4;
-    QueueKnobs trials;
+    decision::RetryLimit retry_limit;  ///< Limit of the retries of the service.
+    Duration min_remaining = 5ms;      ///< A request with less time than this before its deadline is not sent.
+    double internal_wait_ratio = 0.6;  ///< Part of its remaining time for which an internal call may wait.
+    Duration priority_step = 100ms;  ///< Added to the virtual deadline for each step of priority below the most urgent.
+    double trial_wait_ratio = 0.4;   ///< Part of its remaining time for which a suspect may wait for its trial.
+    QueueKnobs trials;               ///< Queue of the suspects.
     quarantine::TrialGateKnobs trial_gate;
-    CrashWatchKnobs crash_watch;
+    CrashDetectorKnobs crash_detector;
     decision::DemandKnobs demand;
     decision::CallGraphKnobs call_graph;
-    /// One slot in so many is left free, and at least one of an instance with so many slots.
-    std::uint32_t free_slot_in = 16;
-    std::uint32_t least_slots_to_leave_free = 8;
-    Weakening weakening;  ///< Tests only.
+    std::uint32_t slots_per_free_slot = 16;     ///< One slot of this many is left free.
+    std::uint32_t min_slots_for_free_slot = 8;  ///< An instance with at least this many slots has one left free.
+    DisabledMechanisms disabled;                ///< Tests only.
 };
 
-/// Relays requests of this node's callers and of other nodes to the one instance.
+/// Forwards requests from this node and from other nodes to the co-located instance. Rejects what the instance cannot
+/// run in time, grants retries, and detects crashes of the instance.
 class RelayService {
 public:
-    using Number = std::uint64_t;
+    using CallId = std::uint64_t;
     using Callback = std::function<void(RelayResult)>;
 
-    RelayService(Clock& clock, EventLog& log, BackEndPort& instances, instance::LocalInstance& instance,
+    RelayService(Clock& clock, EventLog& log, HttpTransport& instances, instance::LocalInstance& instance,
                  quarantine::Quarantine& quarantine, const HeaderNames& names, std::string instance_address,
-                 CallerCensus::ShareOf share_of, RelayKnobs knobs);
+                 InternalRouteDetector::HostShare host_share, RelayKnobs knobs);
     ~RelayService();
     RelayService(const RelayService&) = delete;
     RelayService& operator=(const RelayService&) = delete;
 
-    /// The callback runs once, later on the loop.
-    Number start(RelayRequest request, Callback callback);
-    /// Gives a request up; its callback is not called any more.
-    void cancel(Number number);
-    /// @param path where the instance answers probes.
-    void setProbePath(std::string path) { crash_watch_.setProbePath(std::move(path)); }
-    /// Emitted with what ran when the instance has ended by itself.
+    /// Forwards a request. The callback runs once, from the event loop after this call has returned.
+    /// @return an id for `cancel`.
+    CallId start(RelayRequest request, Callback callback);
+    /// Cancels a call; its callback is not called.
+    void cancel(CallId id);
+    /// @param path of the health endpoint of the instance, which the crash detector probes.
+    void setProbePath(std::string path) { crash_detector_.setProbePath(std::move(path)); }
+    /// Emitted after a crash of the instance with the requests that it was running.
     sigc::signal<void(const quarantine::CrashNotice&)>& signalCrashed() { return signal_crashed_; }
-    /// Only what no other relay can take is let in from now on. @param until runs have to end by then.
-    void stop(TimePoint until) { stops_at_ = until; }
-    /// Nothing further is let in.
+    /// Begins to drain: from now on only requests that no other relay can accept are admitted.
+    /// @param until latest deadline of the runs.
+    void stop(TimePoint until) { stop_deadline_ = until; }
+    /// Rejects all further requests.
     void close() { is_closed_ = true; }
-    /// @param view of the service's instances, by which suspects are let run.
+    /// @param view returns the current instances of the service, from which the relay decides whether suspects may run.
     void setReplicaView(const std::function<fleet::Replicas()>& view);
-    /// An instance of the service beside another node has ended by itself.
-    void onInstanceEndedElsewhere() { trials_.gate().onInstanceEnded(); }
-    /// @param count of relays that take requests of the service now.
-    void setRelayCount(std::size_t count) { repeats_.setRelayCount(count); }
-    [[nodiscard]] std::size_t inFlight() const { return running_.size(); }
+    /// Call when an instance of the service at another node has crashed.
+    void onRemoteCrash() { trials_.gate().onInstanceCrashed(); }
+    /// @param count number of relays that accept requests of the service.
+    void setRelayCount(std::size_t count) { retries_.setRelayCount(count); }
+    /// @return the number of calls that are queued or running.
+    [[nodiscard]] std::size_t inFlight() const { return calls_.size(); }
     [[nodiscard]] QueueLoad load() const { return queue_.load(); }
-    [[nodiscard]] const decision::RepeatTotals& repeatTotals() const { return repeats_.totals(); }
-    [[nodiscard]] decision::RepeatWindow repeatWindow() { return repeats_.window(); }
-    /// Requests that came here after another relay had counted them.
-    [[nodiscard]] std::uint64_t countedBefore() const { return repeats_.countedBefore(); }
-    [[nodiscard]] std::size_t repeatSharers() { return repeats_.sharers(); }
-    /// What the instance is asked for and can give.
+    [[nodiscard]] const decision::RetryTotals& retryTotals() const { return retries_.totals(); }
+    [[nodiscard]] decision::RetryWindow retryWindow() { return retries_.window(); }
+    /// Total of first attempts that another relay had already counted for its retry budget.
+    [[nodiscard]] std::uint64_t countedElsewhere() const { return retries_.countedElsewhere(); }
+    /// Number of relays by which the slack of the retry budget is divided.
+    [[nodiscard]] std::size_t retryRelayCount() { return retries_.relayCount(); }
+    /// @return the demand for the instance and its capacity, in slots; all zero while the instance is not ready.
     [[nodiscard]] decision::ServiceLoad serviceLoad();
-    /// The calls that the instance makes, by the routes that it serves.
+    /// @return the learned calls that the instance makes, by the routes that it serves.
     [[nodiscard]] decision::CallGraph& callGraph() { return call_graph_; }
 
 private:
-    struct Running {
-        RelayRequest request;  ///< Its HTTP request is moved out when it is sent.
-        std::string id;        ///< Of the request.
-        std::string life;      ///< Of the instance that it was sent to.
+    /// A request from its start until its result.
+    struct Call {
+        RelayRequest request;     ///< Without its HTTP request once that was sent.
+        std::string request_id;   ///< From the HTTP request.
+        std::string incarnation;  ///< Name of the incarnation to which the request was sent.
         quarantine::Fingerprint fingerprint = 0;
         Callback callback;
-        std::uint64_t ticket = 0;
-        bool is_trial = false;  ///< It is the one suspect that may run.
-        bool is_let_in = false;
-        TimePoint sent{};
-        decision::CallGraph::RunNumber run = 0;  ///< 0 before it was sent.
+        std::uint64_t ticket = 0;  ///< Ticket in the queue; 0 if the call does not wait there.
+        bool is_trial = false;     ///< The request is the one suspect that may run.
+        bool is_admitted = false;  ///< The call holds a slot of the instance.
+        TimePoint sent_at{};
+        decision::CallGraph::RunId run = 0;  ///< 0 before the request is sent.
         AttemptHandle attempt;
-        TimerHandle refusal;
+        TimerHandle rejection_timer;  ///< Delivers a rejection from the event loop.
     };
+    /// @return how many of the slots may be used at once.
     [[nodiscard]] std::uint32_t limitFor(std::uint32_t slots) const;
-    [[nodiscard]] bool takes(const std::string& instance) const;
-    [[nodiscard]] RelayReason refusalOf(const Running& running);
-    QueueRequest placeInQueue(RelayRequest* request);
-    void enterTrials(Number number);
-    void onTrialDecision(Number number, bool may_run);
-    void logPutOff(const Running& running);
-    void enterQueue(Number number);
-    void refuseLater(Number number, RelayReason reason);
-    void onDecision(Number number, InstanceQueue::Decision decision);
-    void send(Number number);
-    void onAttemptEnded(Number number, AttemptResult result);
-    /// An attempt whose connection broke; whether the instance has ended is being found out.
-    struct Broken {
-        Number number = 0;
+    /// @return whether calls for this instance id may be sent.
+    [[nodiscard]] bool accepts(const std::string& instance) const;
+    /// Takes a retry from the budget if the call is one. @return kNone if the call may proceed.
+    [[nodiscard]] RelayReason rejectionReason(const Call& call);
+    QueueRequest queueRequestFor(RelayRequest* request);
+    void enterTrials(CallId id);
+    void onTrialDecision(CallId id, bool may_run);
+    void logDeferredTrial(const Call& call);
+    void enterQueue(CallId id);
+    void rejectLater(CallId id, RelayReason reason);
+    void onQueueDecision(CallId id, InstanceQueue::Decision decision);
+    void send(CallId id);
+    void onAttemptEnded(CallId id, AttemptResult result);
+    /// An attempt whose connection was lost; its result waits for the decision of the crash detector.
+    struct LostAttempt {
+        CallId id = 0;
         AttemptResult result;
     };
     void onInstanceChanged();
-    void onCrashJudged(bool has_ended);
-    void onInstanceEnded(const std::string& life);
-    void endRunsOf(const std::string& life);
-    RelayResult judge(const Running& running, AttemptResult result);
-    RelayResult judgeAnswer(const Running& running, HttpAnswer answer);
-    void onRunEnded(const Running& running, bool is_whole);
-    void finish(Number number, RelayResult result);
-    void leaveQueues(Number number, const Running& running, Duration time);
+    void onCrashDecided(bool has_crashed);
+    void onCrash(const std::string& incarnation);
+    void failRunsOf(const std::string& incarnation);
+    RelayResult resultOf(const Call& call, AttemptResult result);
+    RelayResult resultOfResponse(const Call& call, HttpResponse response);
+    void onRunEnded(const Call& call, bool is_complete);
+    void finish(CallId id, RelayResult result);
+    void leaveQueues(CallId id, const Call& call, Duration time);
 
     Clock& clock_;
     EventLog& log_;
-    BackEndPort& instances_;
+    HttpTransport& instances_;
     instance::LocalInstance& instance_;
     quarantine::Quarantine& quarantine_;
     const HeaderNames& names_;
@@ -154,25 +157,24 @@
     RelayKnobs knobs_;
     InstanceQueue queue_;
     SuspectTrials trials_;
-    CrashWatch crash_watch_;
-    quarantine::RunLedger runs_;
-    std::vector<Broken> broken_;  ///< Until the watch has judged.
-    // Lives of the instance, by name:
-    std::string seen_life_;        ///< Whose runs are counted as lost if another one comes without its leave;
-    std::uint64_t seen_born_ = 0;  ///< its start.
-    std::string judged_life_;      ///< Whose connections have broken, while that is being judged.
-    std::string ended_life_;       ///< The last one that was found to have ended by itself.
-    bool is_leaving_ = false;      ///< The one seen has said so.
+    CrashDetector crash_detector_;
+    quarantine::RunTracker runs_;
+    std::vector<LostAttempt> lost_attempts_;  ///< Until the crash detector has decided.
+    std::string incarnation_;                 ///< Name of the current incarnation.
+    std::uint64_t start_ms_ = 0;              ///< Start time of the current incarnation; 0 if unknown.
+    std::string suspected_incarnation_;       ///< Incarnation that lost connections; the crash detector decides on it.
+    std::string crashed_incarnation_;  ///< Incarnation that crashed last; empty once the instance is ready again.
+    bool is_leaving_ = false;          ///< The current incarnation has announced its shutdown.
     sigc::signal<void(const quarantine::CrashNotice&)> signal_crashed_;
-    CallerCensus census_;
+    InternalRouteDetector route_detector_;
     decision::InstanceDemand demand_;
     decision::CallGraph call_graph_;
-    RelayRepeats repeats_;
+    RelayRetries retries_;
     decision::UsualDeadlines deadlines_;
-    std::optional<TimePoint> stops_at_;
+    std::optional<TimePoint> stop_deadline_;
     bool is_closed_ = false;
-    Number last_number_ = 0;
-    std::map<Number, std::unique_ptr<Running>> running_;
+    CallId last_id_ = 0;
+    std::map<CallId, std::unique_ptr<Call>> calls_;
 };
 
 }  // namespace dewcrank::relay
--- a/tests/contract/store_contract_test.cc
+++ b/tests/contract/store_contract_test.cc
@@ -1,5 +1,5 @@
-/// One contract for the store as nodes use it, run against the platform's translation with the
-/// stand-in of the store, and against the simulator's model; and the operators' side of the first.
+/// Contract of ControlStore, run against the platform client with the stand-in store and against the simulator's model;
+/// and the contract of TableStore for the platform client. Guards against a model that differs from the platform.
 
 #include <boost/test/unit_test.hpp>
 #include <memory>
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr Duration kWatchWait = 200ms;
+constexpr Duration kWatchTimeout = 200ms;
 
 nlohmann::json configOf(const std::string& version) {
     return {
@@ -37,7 +37,7 @@
         {"Limits", {{"MaxHeaderBytes", 100}, {"MaxBodyBytes", 200}, {"HeaderTimeoutMs", 300}, {"IdleTimeoutMs", 400}}}};
 }
 
-/// A store under test, with a way to let time pass until something has happened.
+/// One implementation under test, with control over time and faults.
 class StoreUnderTest {
 public:
     virtual ~StoreUnderTest() = default;
@@ -45,12 +45,14 @@
     virtual void runUntil(const std::function<bool()>& done) = 0;
     virtual void putTable(std::uint64_t version) = 0;
     virtual void setDown(bool is_down) = 0;
-    virtual void forgetHistory() = 0;
-    /// The store loses all that was written since `saveCopy`.
+    /// Discards the revisions before the current one, so that older watches cannot continue.
+    virtual void compactHistory() = 0;
     virtual void saveCopy() = 0;
-    virtual void returnFromCopy() = 0;
+    /// Restores the state at `saveCopy`; later writes are lost.
+    virtual void restoreFromBackup() = 0;
 };
 
+/// The platform client with the stand-in store, on a real event loop.
 class PlatformStore : public StoreUnderTest, public tests::LoopFixture {
 public:
     PlatformStore() {
@@ -68,10 +70,10 @@
     void putTable(std::uint64_t version) override {
         server.put("config", "main", configOf("0000000" + std::to_string(version)));
     }
-    void setDown(bool is_down) override { server.faults().refuses_with = is_down ? 503 : 0; }
-    void forgetHistory() override { server.faults().forgets = true; }
+    void setDown(bool is_down) override { server.faults().error_status = is_down ? 503 : 0; }
+    void compactHistory() override { server.faults().expires_history = true; }
     void saveCopy() override { server.saveCopy(); }
-    void returnFromCopy() override { server.returnFromCopy(); }
+    void restoreFromBackup() override { server.restoreFromBackup(); }
 
     adapters::SeededRandom random{1};
     adapters::HttpClient http{loop, adapters::HttpLimits{}};
@@ -82,6 +84,7 @@
     std::unique_ptr<platform::ObjectStore> client_;
 };
 
+/// The model of the simulator, in virtual time.
 class ModelStore : public StoreUnderTest {
 public:
     ModelStore() { queue_.runUntil(TimePoint(1s)); }
@@ -98,13 +101,13 @@
         model_.putTable(table);
     }
     void setDown(bool is_down) override { model_.setDown(is_down); }
-    void forgetHistory() override { model_.forgetHistory(); }
+    void compactHistory() override { model_.compactHistory(); }
     void saveCopy() override {
         queue_.runUntil(queue_.now() + 1ms);
         saved_ = queue_.now();
         queue_.runUntil(queue_.now() + 1ms);
     }
-    void returnFromCopy() override { model_.returnFromCopy(queue_.now() - saved_, 60s); }
+    void restoreFromBackup() override { model_.restoreFromBackup(queue_.now() - saved_, 60s); }
 
 private:
     sim::EventQueue queue_;
@@ -121,19 +124,20 @@
     body(model);
 }
 
-std::optional<TableRead> readTable(StoreUnderTest& it) {
+std::optional<TableRead> readTable(StoreUnderTest& fixture) {
     std::optional<std::optional<TableRead>> read;
-    it.store().readTable([&](std::optional<TableRead> answer) { read = std::move(answer); });
-    it.runUntil([&] { return read.has_value(); });
+    fixture.store().readTable([&](std::optional<TableRead> result) { read = std::move(result); });
+    fixture.runUntil([&] { return read.has_value(); });
     return *read;
 }
 
-std::optional<TableRead> watchTable(StoreUnderTest& it, std::uint64_t revision,
+std::optional<TableRead> watchTable(StoreUnderTest& fixture, std::uint64_t revision,
                                     const std::function<void()>& meanwhile) {
     std::optional<std::optional<TableRead>> read;
-    it.store().watchTable(revision, kWatchWait, [&](std::optional<TableRead> answer) { read = std::move(answer); });
+    fixture.store().watchTable(revision, kWatchTimeout,
+                               [&](std::optional<TableRead> result) { read = std::move(result); });
     meanwhile();
-    it.runUntil([&] { return read.has_value(); });
+    fixture.runUntil([&] { return read.has_value(); });
     return *read;
 }
 
@@ -142,28 +146,28 @@
 BOOST_AUTO_TEST_SUITE(contract_store)
 
 BOOST_AUTO_TEST_CASE(the_table_is_read_and_watched) {
-    forEachStore([](StoreUnderTest& it) {
-        auto read = readTable(it);
+    forEachStore([](StoreUnderTest& fixture) {
+        auto read = readTable(fixture);
         BOOST_REQUIRE(read.has_value());
         BOOST_TEST(!read->table.has_value());
-        const auto changed = watchTable(it, read->revision, [&] { it.putTable(7); });
+        const auto changed = watchTable(fixture, read->revision, [&] { fixture.putTable(7); });
         BOOST_REQUIRE(changed.has_value());
         BOOST_REQUIRE(changed->table.has_value());
         BOOST_TEST(changed->table->version() == 7U);
-        const auto unchanged = watchTable(it, changed->revision, [] {});
+        const auto unchanged = watchTable(fixture, changed->revision, [] {});
         BOOST_REQUIRE(unchanged.has_value());
         BOOST_TEST(!unchanged->table.has_value());
-        BOOST_TEST(readTable(it)->table->version() == 7U);
+        BOOST_TEST(readTable(fixture)->table->version() == 7U);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_watch_from_before_the_history_says_so) {
-    forEachStore([](StoreUnderTest& it) {
-        it.putTable(1);
-        const auto revision = readTable(it)->revision;
-        it.putTable(2);
-        it.forgetHistory();
-        const auto read = watchTable(it, revision, [] {});
+BOOST_AUTO_TEST_CASE(a_watch_from_a_discarded_revision_requires_a_new_read) {
+    forEachStore([](StoreUnderTest& fixture) {
+        fixture.putTable(1);
+        const auto revision = readTable(fixture)->revision;
+        fixture.putTable(2);
+        fixture.compactHistory();
+        const auto read = watchTable(fixture, revision, [] {});
         BOOST_REQUIRE(read.has_value());
         BOOST_TEST(read->revision == 0U);
         BOOST_TEST(!read->table.has_value());
@@ -171,65 +175,66 @@
 }
 
 BOOST_AUTO_TEST_CASE(nodes_are_announced_listed_and_withdrawn) {
-    forEachStore([](StoreUnderTest& it) {
+    forEachStore([](StoreUnderTest& fixture) {
         int done = 0;
-        const auto count = [&](bool is_done) { done += is_done ? 1 : 0; };
+        const auto countDone = [&](bool is_done) { done += is_done ? 1 : 0; };
         std::optional<std::vector<NodeAddress>> listed;
-        const auto list = [&] {
+        const auto refresh = [&] {
             listed.reset();
-            it.store().listNodes(Freshness::kNewest,
-                                 [&](const std::optional<std::vector<NodeAddress>>& nodes) { listed = nodes; });
-            it.runUntil([&] { return listed.has_value(); });
+            fixture.store().listNodes(Freshness::kNewest,
+                                      [&](const std::optional<std::vector<NodeAddress>>& nodes) { listed = nodes; });
+            fixture.runUntil([&] { return listed.has_value(); });
         };
-        it.store().announce({"a", "north", "10.0.0.1:1"}, count);
-        it.runUntil([&] { return done == 1; });
-        it.store().announce({"b", "east", "10.0.0.2:1"}, count);
-        it.runUntil([&] { return done == 2; });
-        it.store().announce({"a", "north", "10.0.0.9:1"}, count);  // At another address now.
-        it.runUntil([&] { return done == 3; });
-        list();
+        fixture.store().announce({"a", "north", "10.0.0.1:1"}, countDone);
+        fixture.runUntil([&] { return done == 1; });
+        fixture.store().announce({"b", "east", "10.0.0.2:1"}, countDone);
+        fixture.runUntil([&] { return done == 2; });
+        fixture.store().announce({"a", "north", "10.0.0.9:1"}, countDone);  // Replaces the address.
+        fixture.runUntil([&] { return done == 3; });
+        refresh();
         BOOST_REQUIRE(listed->size() == 2U);
         BOOST_TEST(listed->at(0).address == "10.0.0.9:1");
         BOOST_TEST(listed->at(1).zone == "east");
-        it.store().withdraw("a", count);
-        it.runUntil([&] { return done == 4; });
-        list();
+        fixture.store().withdraw("a", countDone);
+        fixture.runUntil([&] { return done == 4; });
+        refresh();
         BOOST_REQUIRE(listed->size() == 1U);
         BOOST_TEST(listed->at(0).name == "b");
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_store_that_is_away_gives_nothing) {
-    forEachStore([](StoreUnderTest& it) {
-        it.putTable(1);
-        it.setDown(true);
-        BOOST_TEST(!readTable(it).has_value());
+BOOST_AUTO_TEST_CASE(an_unavailable_store_returns_nothing) {
+    forEachStore([](StoreUnderTest& fixture) {
+        fixture.putTable(1);
+        fixture.setDown(true);
+        BOOST_TEST(!readTable(fixture).has_value());
         std::optional<bool> announced;
-        it.store().announce({"a", "north", "10.0.0.1:1"}, [&](bool is_done) { announced = is_done; });
-        it.runUntil([&] { return announced.has_value(); });
+        fixture.store().announce({"a", "north", "10.0.0.1:1"}, [&](bool is_done) { announced = is_done; });
+        fixture.runUntil([&] { return announced.has_value(); });
         BOOST_TEST(!*announced);
-        it.setDown(false);
-        BOOST_TEST(readTable(it)->table->version() == 1U);
+        fixture.setDown(false);
+        BOOST_TEST(readTable(fixture)->table->version() == 1U);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_store_that_is_back_from_a_copy_says_so_and_has_lost_what_came_after) {
-    forEachStore([](StoreUnderTest& it) {
-        it.putTable(1);
-        const auto before = readTable(it);
-        const auto era = it.store().era();
+BOOST_AUTO_TEST_CASE(a_restored_store_increments_its_era_and_lacks_later_writes) {
+    forEachStore([](StoreUnderTest& fixture) {
+        fixture.putTable(1);
+        const auto before = readTable(fixture);
+        const auto era = fixture.store().era();
         BOOST_TEST(era > 0U);
-        it.saveCopy();
-        it.putTable(2);
-        const auto lost = readTable(it);
+        fixture.saveCopy();
+        fixture.putTable(2);
+        const auto lost = readTable(fixture);
         BOOST_TEST(lost->revision > before->revision);
-        it.returnFromCopy();
-        const auto read = readTable(it);
+        fixture.restoreFromBackup();
+        const auto read = readTable(fixture);
         BOOST_REQUIRE(read.has_value());
-        BOOST_TEST(it.store().era() == era + 1);
+        BOOST_TEST(fixture.store().era() == era + 1);
         BOOST_TEST(read->table->version() == 1U);
         BOOST_TEST(read->revision == before->revision);
-        const auto unknown = watchTable(it, lost->revision, [] {});  // A revision that it does not have.
+        const auto unknown =
+            watchTable(fixture, lost->revision, [] {});  // Revision that the restored store does not have.
         BOOST_REQUIRE(unknown.has_value());
         BOOST_TEST(unknown->revision == 0U);
     });
@@ -240,7 +245,7 @@
 struct ConfigFixture : PlatformStore {
     std::optional<StoredTable> read() {
         std::optional<std::optional<StoredTable>> stored;
-        config->read([&](std::optional<StoredTable> answer) { stored = std::move(answer); });
+        config->read([&](std::optional<StoredTable> result) { stored = std::move(result); });
         PlatformStore::runUntil([&] { return stored.has_value(); });
         return *stored;
     }
@@ -254,7 +259,7 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_CASE(an_edit_is_saved_once_and_keeps_what_the_platform_holds_beside_the_table, ConfigFixture) {
+BOOST_FIXTURE_TEST_CASE(an_edit_is_saved_once_and_keeps_other_fields_of_the_platform, ConfigFixture) {
     BOOST_TEST(!read().has_value());
     putTable(7);
     auto stored = read();
@@ -273,23 +278,23 @@
     BOOST_TEST(document["Limits"]["MaxBodyBytes"] == 200);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_write_whose_answer_is_lost_is_unknown, ConfigFixture) {
+BOOST_FIXTURE_TEST_CASE(a_write_whose_response_is_lost_is_unknown, ConfigFixture) {
     putTable(7);
     auto stored = read();
-    server.faults().lost_answers = 1;
+    server.faults().lost_responses = 1;
     stored->table.set_version(8);
     BOOST_TEST((write(stored->table, stored->revision) == TableWrite::kUnknown));
-    server.faults().lost_answers = 0;
+    server.faults().lost_responses = 0;
     BOOST_TEST(read()->table.version() == 8U);
 }
 
-/// The table that is there has the revision of the one that was read, and is another one.
-BOOST_FIXTURE_TEST_CASE(an_edit_of_what_was_read_before_the_store_came_back_from_a_copy_is_not_saved, ConfigFixture) {
+/// Guards against a lost update: after a restore, another table may have the same revision as the table that was read.
+BOOST_FIXTURE_TEST_CASE(an_edit_of_a_table_read_before_a_restore_is_not_saved, ConfigFixture) {
     putTable(7);
     server.saveCopy();
     putTable(8);
     auto stored = read();
-    server.returnFromCopy();
+    server.restoreFromBackup();
     putTable(9);
     stored->table.set_version(10);
     BOOST_TEST((write(stored->table, stored->revision) == TableWrite::kConflict));
--- a/tests/unit/decision/call_graph_test.cc
+++ b/tests/unit/decision/call_graph_test.cc
@@ -13,22 +13,22 @@
 
 namespace {
 
-/// Calls that a route's runs make, one after the other.
+/// Sequential calls to one callee within a run.
 struct Calls {
     std::string callee;
     int times = 0;
-    Duration usual{};       ///< The deadline that they give.
-    double fail_share = 0;  ///< A run one of whose calls fails ends there.
+    Duration usual{};       ///< Timeout of a call, unless the run has less time left.
+    double fail_share = 0;  ///< Probability that a call fails, which ends the run.
 };
 
-/// A route of the instance: how often it is asked, what its callers give, how long it runs.
+/// A route of the instance: its request rate, timeout and duration, and the calls of a run.
 struct Route {
     std::string name;
     double per_second = 0;
     Duration deadline{};
     Duration time{};
     std::vector<Calls> calls;
-    double repeat_share = 0;
+    double retry_probability = 0;
 };
 
 struct GraphFixture {
@@ -41,8 +41,8 @@
             arrive(route);
         });
     }
-    /// A call gives its usual time or what its run has left, in whole milliseconds, and arrives a
-    /// moment later.
+    /// Simulates one run. The timeout of a call is the smaller of the usual timeout and the remaining time of the run,
+    /// in whole milliseconds; each call arrives after a short delay.
     void run(const Route& route) {
         std::vector<Calls> steps;
         for (const auto& calls : route.calls) {
@@ -50,9 +50,9 @@
         }
         const auto began = time.queue.now();
         auto deadline = began + route.deadline;
-        const auto number = graph.onRunBegan(began, route.name, {route.repeat_share, 1}, &deadline);
+        const auto number = graph.onRunBegan(began, route.name, {route.retry_probability, 1}, &deadline);
         BOOST_TEST((deadline <= began + route.deadline));
-        // Ample time by the mean that was seen, which is not quite the nominal one.
+        // The graph uses the observed mean time, which differs from the nominal time.
         BOOST_TEST((2 * (deadline - began) >= 5 * route.time || deadline == began + route.deadline));
         step(number, deadline, steps, 0, route.time / static_cast<int>(steps.size() + 1));
     }
@@ -67,8 +67,9 @@
             }
             const auto& call = steps[next];
             const auto left = std::chrono::milliseconds(toMilliseconds(deadline - time.queue.now()));
-            repeat_shares[call.callee] +=
-                graph.onCall(time.queue.now() + 300us, call.callee, std::min<Duration>(left, call.usual)).repeat_share;
+            retry_probabilities[call.callee] +=
+                graph.onCall(time.queue.now() + 300us, call.callee, std::min<Duration>(left, call.usual))
+                    .retry_probability;
             ++made[call.callee];
             if (random.unit() < call.fail_share) {
                 graph.onRunEnded(time.queue.now(), number, false);
@@ -84,7 +85,7 @@
     tests::VirtualTime time;
     adapters::SeededRandom random{1};
     decision::CallGraph graph{{}};
-    std::map<std::string, double> repeat_shares;  ///< Sums, by callee.
+    std::map<std::string, double> retry_probabilities;  ///< Sums of retry probabilities by callee.
     std::map<std::string, int> made;
 };
 
@@ -92,6 +93,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(unit_decision_call_graph, GraphFixture)
 
+/// Guards against excluding a dependency of a route before the graph has samples.
 BOOST_AUTO_TEST_CASE(nothing_is_excluded_before_enough_was_seen) {
     auto deadline = time.queue.now() + 1s;
     BOOST_TEST(graph.depends("pack", "below"));
@@ -100,7 +102,8 @@
     BOOST_TEST(!graph.callsPerRun("pack", "below").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_route_that_makes_no_calls_is_told_from_one_that_makes_many) {
+/// Guards against attributing calls to a route that makes no calls but runs at the same time as a calling route.
+BOOST_AUTO_TEST_CASE(a_route_that_makes_no_calls_is_distinguished_from_one_that_makes_many) {
     arrive({"index", 35, 2s, 200ms, {{"below", 4, 700ms}}});
     arrive({"pack", 4, 1500ms, 130ms, {}});
     time.advance(10s);
@@ -111,7 +114,7 @@
     }
 }
 
-/// The usual deadlines of a mesh: no run comes near enough to its end to show a call by itself.
+/// Guards against wrong call counts when all calls have their usual timeouts, which do not depend on the run.
 BOOST_AUTO_TEST_CASE(calls_are_counted_though_no_run_comes_near_its_end) {
     arrive({"sign", 30, 5s, 300ms, {{"stock", 2, 2s}}});
     arrive({"check", 60, 2500ms, 250ms, {{"stock", 1, 2s}, {"price", 3, 1s}}});
@@ -130,7 +133,8 @@
     }
 }
 
-/// Where most runs die at their first call, those that make none are still told from them.
+/// Guards against a calling route that is classified as a route without calls because most runs fail at the first
+/// call.
 BOOST_AUTO_TEST_CASE(failing_runs_are_known_to_make_calls) {
     arrive({"check", 60, 2500ms, 250ms, {{"stock", 4, 2s, 0.95}}});
     arrive({"plain", 40, 1200ms, 100ms, {}});
@@ -139,35 +143,37 @@
     BOOST_TEST(!graph.depends("plain", "stock"));
 }
 
+/// Guards against call counts that do not follow a change of the route.
 BOOST_AUTO_TEST_CASE(a_route_whose_calls_change_is_learned_anew) {
     Route route{"check", 60, 2500ms, 250ms, {{"stock", 1, 2s}}};
     arrive(route);
     time.advance(60s);
     BOOST_TEST(std::abs(calls("check", "stock") - 1) < 0.1);
-    arrive({"check", 600, 2500ms, 250ms, {{"stock", 3, 2s}}});  // Nearly all from now on.
+    arrive({"check", 600, 2500ms, 250ms, {{"stock", 3, 2s}}});  // Most runs are of this kind from here on.
     time.advance(90s);
     BOOST_TEST(calls("check", "stock") > 2.5);
 }
 
-/// What calls take over is right in the mean: those of repeated runs count as repeats below.
-BOOST_AUTO_TEST_CASE(calls_take_over_the_share_of_repeats_of_the_runs_that_make_them) {
+/// Guards against calls of retried requests that do not count as retries at the callee. Only the mean is checked.
+BOOST_AUTO_TEST_CASE(calls_inherit_the_retry_probability_of_their_runs) {
     arrive({"sign", 30, 5s, 300ms, {{"stock", 2, 2s}}, 0.2});
     arrive({"check", 60, 2500ms, 250ms, {{"stock", 1, 2s}}, 0});
-    arrive({"plain", 40, 1200ms, 100ms, {}, 1});  // Makes no calls: counts for nothing.
+    arrive({"plain", 40, 1200ms, 100ms, {}, 1});  // This route makes no calls, so its probability must not count.
     time.advance(60s);
-    const double mean = repeat_shares["stock"] / made["stock"];
+    const double mean = retry_probabilities["stock"] / made["stock"];
     BOOST_TEST(std::abs(mean - 0.1) < 0.03, mean);
 }
 
+/// Guards against a failed run that is attributed to a call before its start, long ago or already attributed.
 BOOST_AUTO_TEST_CASE(a_failure_is_explained_by_a_call_that_has_just_failed_during_the_run) {
     const auto began = time.queue.now();
-    BOOST_TEST(!graph.explainFailure(began, began));
+    BOOST_TEST(!graph.attributeFailure(began, began));
     graph.onCallFailed(began + 10ms);
-    BOOST_TEST(!graph.explainFailure(began + 12ms, began + 11ms));  // Begun after the call had failed.
-    BOOST_TEST(graph.explainFailure(began + 12ms, began));
-    BOOST_TEST(!graph.explainFailure(began + 13ms, began));  // It explains one failure only.
+    BOOST_TEST(!graph.attributeFailure(began + 12ms, began + 11ms));  // The run began after the failed call.
+    BOOST_TEST(graph.attributeFailure(began + 12ms, began));
+    BOOST_TEST(!graph.attributeFailure(began + 13ms, began));  // A failed call explains one failure only.
     graph.onCallFailed(began + 20ms);
-    BOOST_TEST(!graph.explainFailure(began + 2s, began));
+    BOOST_TEST(!graph.attributeFailure(began + 2s, began));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/fleet/gossip_test.cc
+++ b/tests/unit/fleet/gossip_test.cc
@@ -13,22 +13,22 @@
 
 namespace {
 
-/// Carries messages between the nodes of a test, and counts their bytes.
-class Wires : public BackEndPort {
+/// Delivers messages between the nodes of a test, and counts messages and bytes.
+class FakeNetwork : public HttpTransport {
 public:
-    explicit Wires(Clock& clock) : clock_(clock) {}
+    explicit FakeNetwork(Clock& clock) : clock_(clock) {}
     AttemptHandle send(const std::string& address, HttpRequest request, Duration, Callback callback) override {
         bytes += request.body.size();
         ++messages;
         auto attempt = std::make_unique<Running>();
         attempt->timer = clock_.startTimer(1ms, [this, address, request, callback = std::move(callback)] {
             AttemptResult result;
-            result.outcome = AttemptOutcome::kAnswered;
-            result.answer = nodes.at(address)->handle(request);
-            bytes += result.answer.body.size();
-            wire::Gossip answer;
-            answer.ParseFromString(result.answer.body);
-            tables += answer.has_table() ? 1 : 0;
+            result.outcome = AttemptOutcome::kResponded;
+            result.response = nodes.at(address)->handle(request);
+            bytes += result.response.body.size();
+            wire::Gossip response;
+            response.ParseFromString(result.response.body);
+            tables += response.has_table() ? 1 : 0;
             callback(result);
         });
         return attempt;
@@ -36,7 +36,7 @@
     std::map<std::string, fleet::Gossip*> nodes;
     std::size_t bytes = 0;
     int messages = 0;
-    int tables = 0;  ///< Answers that held the table.
+    int tables = 0;  ///< Responses that contained the table.
 
 private:
     struct Running : Attempt {
@@ -54,11 +54,11 @@
 }
 
 struct Node {
-    Node(const std::string& name, Clock& clock, Wires& wires)
+    Node(const std::string& name, Clock& clock, FakeNetwork& network)
         : random(std::hash<std::string>()(name)),
           directory(clock, recordOf(name)),
-          gossip(clock, random, log, wires, directory, table, lease, {}) {
-        wires.nodes[name + ":1"] = &gossip;
+          gossip(clock, random, log, network, directory, table, lease, {}) {
+        network.nodes[name + ":1"] = &gossip;
     }
     adapters::SeededRandom random;
     tests::RecordingLog log;
@@ -73,18 +73,18 @@
         left.directory.addAddress("right", "", "right:1");
         right.directory.addAddress("left", "", "left:1");
     }
-    /// Bytes of one exchange.
+    /// Runs one exchange. @return the number of bytes sent.
     std::size_t exchange() {
-        const auto before = wires.bytes;
+        const auto before = network.bytes;
         left.gossip.exchangeWith("right");
         time.advance(100ms);
-        return wires.bytes - before;
+        return network.bytes - before;
     }
 
     tests::VirtualTime time;
-    Wires wires{time.clock};
-    Node left{"left", time.clock, wires};
-    Node right{"right", time.clock, wires};
+    FakeNetwork network{time.clock};
+    Node left{"left", time.clock, network};
+    Node right{"right", time.clock, network};
 };
 
 }  // namespace
@@ -119,15 +119,14 @@
     BOOST_TEST(left.table.version() == 7U);
 }
 
-/// Many nodes that have the table and know each other, and one that starts with the store's list of
-/// them.
+/// A fleet of kNodes nodes with the table and complete directories, and a starting node that has only their addresses.
 struct FleetFixture {
     FleetFixture() {
         wire::RouteTable table;
         table.set_version(7);
         for (int i = 0; i < kNodes; ++i) {
             const auto name = "node-" + std::to_string(i);
-            nodes.push_back(std::make_unique<Node>(name, time.clock, wires));
+            nodes.push_back(std::make_unique<Node>(name, time.clock, network));
             nodes.back()->table.adopt(table);
             starting.directory.addAddress(name, "", name + ":1");
         }
@@ -136,11 +135,11 @@
                 node->directory.merge(other->directory.self());
             }
         }
-        time.advance(3s);  // Each has told some others of its table.
-        wires.messages = 0;
+        time.advance(3s);  // The nodes stop sending rumors of the table.
+        network.messages = 0;
     }
-    /// How many of the nodes know a record of this version.
-    [[nodiscard]] int knowing(const std::string& name, std::uint64_t sequence) const {
+    /// @return the number of nodes whose record of `name` has this sequence number.
+    [[nodiscard]] int countNodesWith(const std::string& name, std::uint64_t sequence) const {
         return static_cast<int>(std::count_if(nodes.begin(), nodes.end(), [&](const auto& node) {
             const auto* record = node->directory.record(name);
             return record != nullptr && record->incarnation() > 0 && record->sequence() == sequence;
@@ -148,40 +147,42 @@
     }
     static constexpr int kNodes = 200;
     tests::VirtualTime time;
-    Wires wires{time.clock};
+    FakeNetwork network{time.clock};
     std::vector<std::unique_ptr<Node>> nodes;
-    Node starting{"starting", time.clock, wires};
+    Node starting{"starting", time.clock, network};
 };
 
 BOOST_FIXTURE_TEST_CASE(a_starting_node_gets_the_table_a_few_times_and_is_known_to_all, FleetFixture) {
-    starting.gossip.introduceSelf();
+    starting.gossip.announceSelf();
     time.advance(100ms);
     BOOST_TEST(starting.table.version() == 7U);
     time.advance(1s);
-    BOOST_TEST(knowing("starting", 0) >= kNodes * 0.97);  // Exchanges on the timer, not running here, find the rest.
-    BOOST_TEST(wires.tables >= 1);
-    BOOST_TEST(wires.tables <= 3);
+    BOOST_TEST(countNodesWith("starting", 0) >=
+               kNodes * 0.97);  // The periodic exchange, which would reach the rest, is not started.
+    BOOST_TEST(network.tables >= 1);
+    BOOST_TEST(network.tables <= 3);
 }
 
-/// The cost of a change at each node does not grow with the fleet, and many changes travel together.
+/// Guards against a cost per node that grows with the fleet, and against one message per change.
 BOOST_FIXTURE_TEST_CASE(a_change_reaches_a_fleet_for_a_few_messages_a_node, FleetFixture) {
     wire::InstanceRecord instance;
     instance.set_id("i1");
     nodes[0]->directory.updateSelf(instance, false);
     time.advance(1s);
-    BOOST_TEST(knowing("node-0", 1) >= kNodes * 0.97);
-    BOOST_TEST(wires.messages <= kNodes * 6);
-    wires.messages = 0;
+    BOOST_TEST(countNodesWith("node-0", 1) >= kNodes * 0.97);
+    BOOST_TEST(network.messages <= kNodes * 6);
+    network.messages = 0;
     for (int i = 1; i <= 40; ++i) {
         nodes[static_cast<std::size_t>(i)]->directory.updateSelf(instance, false);
     }
     time.advance(1500ms);
     for (int i = 1; i <= 40; ++i) {
-        BOOST_TEST(knowing("node-" + std::to_string(i), 1) >= kNodes * 0.9);
+        BOOST_TEST(countNodesWith("node-" + std::to_string(i), 1) >= kNodes * 0.9);
     }
-    BOOST_TEST(wires.messages <= kNodes * 16);
+    BOOST_TEST(network.messages <= kNodes * 16);
 }
 
+/// Guards against nodes that never receive a record because the rumors of the record did not reach them.
 BOOST_FIXTURE_TEST_CASE(exchanges_bring_what_rumors_have_missed, FleetFixture) {
     wire::InstanceRecord instance;
     instance.set_id("i1");
@@ -190,40 +191,41 @@
         node->gossip.start();
     }
     time.advance(4s);
-    BOOST_TEST(knowing("node-0", 1) == kNodes);
+    BOOST_TEST(countNodesWith("node-0", 1) == kNodes);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_node_that_does_not_answer_does_not_keep_the_table_from_others, FleetFixture) {
+/// Guards against a node that stays without the table because its first requests for the table get no response.
+BOOST_FIXTURE_TEST_CASE(an_unresponsive_node_does_not_keep_the_table_from_others, FleetFixture) {
     for (int i = 0; i < 2; ++i) {
-        starting.gossip.exchangeWith("node-" + std::to_string(i));  // Asked, and not answered yet.
+        starting.gossip.exchangeWith("node-" + std::to_string(i));  // Table requests without a response yet.
     }
     starting.gossip.onTableVersionSeen("node-5", 7);
     time.advance(10ms);
     BOOST_TEST(starting.table.version() == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(whoever_answers_at_a_nodes_address_is_not_that_node) {
-    Node other("other", time.clock, wires);
-    wires.nodes["right:1"] = &other.gossip;
-    bool is_answered = true;
-    left.gossip.probe("right", 300ms, [&](bool answered) { is_answered = answered; });
+BOOST_AUTO_TEST_CASE(a_response_of_another_node_does_not_confirm_the_expected_one) {
+    Node other("other", time.clock, network);
+    network.nodes["right:1"] = &other.gossip;
+    bool has_response = true;
+    left.gossip.probe("right", 300ms, [&](bool answered) { has_response = answered; });
     time.advance(100ms);
-    BOOST_TEST(!is_answered);
+    BOOST_TEST(!has_response);
     BOOST_TEST(!fleet::NodeDirectory::isReachable(*left.directory.find("right")));
     BOOST_TEST(fleet::NodeDirectory::isReachable(*left.directory.find("other")));
-    wires.nodes["right:1"] = &right.gossip;
-    left.gossip.probe("right", 300ms, [&](bool answered) { is_answered = answered; });
+    network.nodes["right:1"] = &right.gossip;
+    left.gossip.probe("right", 300ms, [&](bool answered) { has_response = answered; });
     time.advance(100ms);
-    BOOST_TEST(is_answered);
+    BOOST_TEST(has_response);
     BOOST_TEST(fleet::NodeDirectory::isReachable(*left.directory.find("right")));
 }
 
-/// Two records with one address: one question settles whose it is, whichever was heard of first.
-BOOST_AUTO_TEST_CASE(an_address_that_two_nodes_claim_is_asked_for_its_holder) {
-    Node holder("holder", time.clock, wires);
-    wires.nodes["shared:1"] = &holder.gossip;
+/// Guards against a node that stays reachable at an address that it has lost, in either order of arrival.
+BOOST_AUTO_TEST_CASE(an_address_conflict_is_resolved_by_a_probe) {
+    Node holder("holder", time.clock, network);
+    network.nodes["shared:1"] = &holder.gossip;
     for (const bool is_first : {true, false}) {
-        Node asker(is_first ? "asker-1" : "asker-2", time.clock, wires);
+        Node asker(is_first ? "asker-1" : "asker-2", time.clock, network);
         for (const char* name : {is_first ? "holder" : "former", is_first ? "former" : "holder"}) {
             auto record = recordOf(name);
             record.set_address("shared:1");
@@ -235,8 +237,8 @@
     }
 }
 
-/// What is told without having been asked for may have been under way for any time.
-BOOST_AUTO_TEST_CASE(only_answers_tell_how_fresh_a_table_is) {
+/// Guards against a table age that is derived from a request, since a request may have been delayed for any time.
+BOOST_AUTO_TEST_CASE(only_responses_report_the_table_age) {
     right.lease.onRead(time.clock.now());
     time.advance(1s);
     right.gossip.exchangeWith("left");
