--- a/sim/sidecar_fleet.cc
+++ b/sim/sidecar_fleet.cc
@@ -199,7 +199,7 @@
     settings.knobs.quota_shards.weakening = weakening_;
     settings.knobs.table_lease.revocation = tenants_.empty() ? Duration::zero() : kRevocation;
     if (weakening_.suspects_nobody) {
-        settings.knobs.quarantine.suspicion = Duration::zero();
+        settings.knobs.quarantine.suspicion_timeout = Duration::zero();
     }
     machine.node = std::make_unique<sidecar::SidecarNode>(
         sidecar::Ports{*machine.host, random_, *machine.http, *machine.http, *machine.store, *machine.log}, settings);
--- a/src/entry/access_check.cc
+++ b/src/entry/access_check.cc
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-std::optional<std::string_view> keyIn(const Headers& headers, std::string_view scheme) {
+std::optional<std::string_view> callerKey(const Headers& headers, std::string_view scheme) {
     std::optional<std::string_view> key;
     for (const auto& line : headers.lines()) {
         if (!sameHeaderName(line.name, kAuthorization)) {
@@ -55,17 +55,17 @@
         return access;
     }
     if (!is_fresh) {
-        access.refusal = Refusal{kHttpServiceUnavailable, "table-too-old", knobs.catch_up};
+        access.rejection = Rejection{kHttpServiceUnavailable, "table-too-old", knobs.catch_up_time};
     } else if (table.isBehind()) {
-        access.refusal = Refusal{kHttpServiceUnavailable, "table-behind", knobs.catch_up};
+        access.rejection = Rejection{kHttpServiceUnavailable, "table-behind", knobs.catch_up_time};
     } else {
-        access.refusal = Refusal{kHttpUnauthorized, key ? "unknown-key" : "no-key", {}};
+        access.rejection = Rejection{kHttpUnauthorized, key ? "unknown-key" : "no-key", {}};
     }
     return access;
 }
 
-void applyAccess(const policy::RouteTable& table, const HeaderNames& names, const wire::Tenant* tenant,
-                 Headers* headers) {
+void replaceKeyWithTenant(const policy::RouteTable& table, const HeaderNames& names, const wire::Tenant* tenant,
+                          Headers* headers) {
     headers->remove(names.tenant);
     if (tenant != nullptr) {
         headers->set(names.tenant, tenant->name());
--- a/src/entry/call_intake.cc
+++ b/src/entry/call_intake.cc
@@ -10,36 +10,36 @@
 
 constexpr Duration kNotReadyRetryAfter = 500ms;
 /// An owner of tokens is missing for some seconds at most, most often for less than one.
-constexpr Duration kNoOwnerRetryAfter = 500ms;
+constexpr Duration kQuotaUnknownRetryAfter = 500ms;
 
 }  // namespace
 
-std::optional<Refusal> CallIntake::refusalOf(const HttpRequest& request, const policy::RoutePtr& route) const {
+std::optional<Rejection> CallIntake::rejectionFor(const HttpRequest& request, const policy::RoutePtr& route) const {
     if (!services_.table.isKnown()) {
-        return Refusal{kHttpServiceUnavailable, "not-ready", kNotReadyRetryAfter};
+        return Rejection{kHttpServiceUnavailable, "not-ready", kNotReadyRetryAfter};
     }
     if (route == nullptr && services_.table.isBehind()) {
-        return Refusal{kHttpServiceUnavailable, "table-behind", services_.access.catch_up};
+        return Rejection{kHttpServiceUnavailable, "table-behind", services_.access.catch_up_time};
     }
     if (route == nullptr) {
-        return Refusal{kHttpNotFound, "no-route", {}};
+        return Rejection{kHttpNotFound, "no-route", {}};
     }
     if (request.headers.get(services_.names.request_id).empty()) {
-        return Refusal{kHttpBadRequest, "no-request-id", {}};
+        return Rejection{kHttpBadRequest, "no-request-id", {}};
     }
     return std::nullopt;
 }
 
-void CallIntake::start(Number number, HttpRequest request, const Callback& callback) {
+void CallIntake::start(CallId id, HttpRequest request, const Callback& callback) {
     const auto route = services_.table.match(request.headers.get("host"), request.path);
-    if (const auto refusal = refusalOf(request, route)) {
-        callback(std::move(request), TurnedAway{*refusal, route});
+    if (const auto rejection = rejectionFor(request, route)) {
+        callback(std::move(request), Rejected{*rejection, route});
         return;
     }
     auto access = checkAccess(services_.clock.now(), services_.table, services_.lease, *route,
-                              keyIn(request.headers, services_.names.key_scheme), services_.access);
-    if (access.refusal) {
-        callback(std::move(request), TurnedAway{*access.refusal, route});
+                              callerKey(request.headers, services_.names.key_scheme), services_.access);
+    if (access.rejection) {
+        callback(std::move(request), Rejected{*access.rejection, route});
         return;
     }
     Admitted admitted{route, std::move(access.tenant), std::nullopt};
@@ -47,21 +47,21 @@
         callback(std::move(request), std::move(admitted));
         return;
     }
-    takeToken(number, std::move(request), std::move(admitted), callback);
+    takeToken(id, std::move(request), std::move(admitted), callback);
 }
 
-void CallIntake::takeToken(Number number, HttpRequest request, Admitted admitted, const Callback& callback) {
+void CallIntake::takeToken(CallId id, HttpRequest request, Admitted admitted, const Callback& callback) {
     const auto tenant = admitted.tenant;
-    waiting_[number] = {std::move(request), std::move(admitted), 0};
+    waiting_[id] = {std::move(request), std::move(admitted), 0};
     const auto token = services_.quota.take(
-        *tenant, [this, number, callback](const quota::TokenResult& result) { onToken(number, result, callback); });
-    if (const auto found = waiting_.find(number); found != waiting_.end()) {
+        *tenant, [this, id, callback](const quota::TokenResult& result) { onToken(id, result, callback); });
+    if (const auto found = waiting_.find(id); found != waiting_.end()) {
         found->second.token = token;
     }
 }
 
-void CallIntake::onToken(Number number, const quota::TokenResult& result, const Callback& callback) {
-    auto ended = waiting_.extract(number);
+void CallIntake::onToken(CallId id, const quota::TokenResult& result, const Callback& callback) {
+    auto ended = waiting_.extract(id);
     if (ended.empty()) {
         return;
     }
@@ -73,16 +73,16 @@
             return;
         case quota::TokenAnswer::kBeyond:
             callback(std::move(it.request),
-                     TurnedAway{{kHttpTooManyRequests, "quota", result.retry_after}, it.admitted.route});
+                     Rejected{{kHttpTooManyRequests, "quota", result.retry_after}, it.admitted.route});
             return;
         case quota::TokenAnswer::kUnknown:
             callback(std::move(it.request),
-                     TurnedAway{{kHttpServiceUnavailable, "quota-unknown", kNoOwnerRetryAfter}, it.admitted.route});
+                     Rejected{{kHttpServiceUnavailable, "quota-unknown", kQuotaUnknownRetryAfter}, it.admitted.route});
     }
 }
 
-void CallIntake::cancel(Number number) {
-    if (const auto ended = waiting_.extract(number); !ended.empty()) {
+void CallIntake::cancel(CallId id) {
+    if (const auto ended = waiting_.extract(id); !ended.empty()) {
         services_.quota.cancel(ended.mapped().token);
     }
 }
--- a/src/entry/call_intake.h
+++ b/src/entry/call_intake.h
@@ -23,8 +23,8 @@
 };
 
 /// What a request is turned away with, and its route if it has one.
-struct TurnedAway {
-    Refusal refusal;
+struct Rejected {
+    Rejection rejection;
     policy::RoutePtr route;
 };
 
@@ -40,8 +40,8 @@
 
 class CallIntake {
 public:
-    using Number = std::uint64_t;
-    using Outcome = std::variant<Admitted, TurnedAway>;
+    using CallId = std::uint64_t;
+    using Outcome = std::variant<Admitted, Rejected>;
     /// Gets the request back as it was handed in.
     using Callback = std::function<void(HttpRequest, Outcome)>;
 
@@ -49,9 +49,9 @@
 
     /// Calls back exactly once, at once or later, unless the request is cancelled.
     /// @param number chosen by the caller, for `cancel` and `isWaiting`.
-    void start(Number number, HttpRequest request, const Callback& callback);
-    void cancel(Number number);
-    [[nodiscard]] bool isWaiting(Number number) const { return waiting_.contains(number); }
+    void start(CallId id, HttpRequest request, const Callback& callback);
+    void cancel(CallId id);
+    [[nodiscard]] bool isWaiting(CallId id) const { return waiting_.contains(id); }
     [[nodiscard]] std::size_t waitingCount() const { return waiting_.size(); }
 
 private:
@@ -61,12 +61,13 @@
         Admitted admitted;
         quota::QuotaClient::Number token = 0;
     };
-    [[nodiscard]] std::optional<Refusal> refusalOf(const HttpRequest& request, const policy::RoutePtr& route) const;
-    void takeToken(Number number, HttpRequest request, Admitted admitted, const Callback& callback);
-    void onToken(Number number, const quota::TokenResult& result, const Callback& callback);
+    [[nodiscard]] std::optional<Rejection> rejectionFor(const HttpRequest& request,
+                                                        const policy::RoutePtr& route) const;
+    void takeToken(CallId id, HttpRequest request, Admitted admitted, const Callback& callback);
+    void onToken(CallId id, const quota::TokenResult& result, const Callback& callback);
 
     IntakeServices services_;
-    std::map<Number, Waiting> waiting_;
+    std::map<CallId, Waiting> waiting_;
 };
 
 }  // namespace dewcrank::entry
--- a/src/entry/entry_call.cc
+++ b/src/entry/entry_call.cc
@@ -19,15 +19,15 @@
       plan_(std::move(plan)),
       reply_(std::move(reply)),
       end_(std::move(end)),
-      began_(services.clock.now()) {}
+      started_(services.clock.now()) {}
 
 EntryCall::~EntryCall() {
-    stopAttempt();
+    cancelAttempt();
 }
 
-void EntryCall::refuse(const char* reason) {
+void EntryCall::reject(const char* reason) {
     is_overload_ = true;
-    giveUp(reason, false);
+    fail(reason, false);
 }
 
 void EntryCall::start() {
@@ -36,42 +36,42 @@
 }
 
 void EntryCall::sendToNext() {
-    if (remaining() < services_.knobs.least_remaining) {
-        giveUp("deadline", may_have_run_);
+    if (remaining() < services_.knobs.min_remaining) {
+        fail("deadline", may_have_run_);
         return;
     }
     const auto target = services_.selector.choose(plan_.service, tried_);
-    const bool has_asked_in_vain = tried_.empty() || has_met_stopping_only_;
-    if (target.node.empty() && has_asked_in_vain && !has_awaited_) {
+    const bool has_found_none_running = tried_.empty() || has_met_only_stopping_;
+    if (target.node.empty() && has_found_none_running && !has_waited_for_instance_) {
         awaitInstance();
         return;
     }
     if (target.node.empty()) {
-        giveUp(tried_.empty() ? "no-instance" : "no-other-instance", false);
+        fail(tried_.empty() ? "no-instance" : "no-other-instance", false);
         return;
     }
     sendTo(target);
 }
 
 void EntryCall::awaitInstance() {
-    has_awaited_ = true;
+    has_waited_for_instance_ = true;
     tried_.clear();  // Those that were stopping may be the ones that come back.
     const auto objective = std::chrono::milliseconds(plan_.route->objective_ms());
-    const auto wait = std::chrono::duration_cast<Duration>(objective * services_.knobs.absent_wait_share);
-    absent_timer_ = services_.clock.startTimer(wait, [this] { sendToNext(); });
+    const auto wait = std::chrono::duration_cast<Duration>(objective * services_.knobs.instance_wait_ratio);
+    instance_wait_timer_ = services_.clock.startTimer(wait, [this] { sendToNext(); });
     on_node_changed_ = services_.directory.signalChanged().connect([this](const std::string&) {
         if (services_.selector.relayCount(plan_.service) > 0) {
             on_node_changed_.disconnect();
             // Not from within the change: what follows may look at the directory.
-            absent_timer_ = services_.clock.startTimer(Duration::zero(), [this] { sendToNext(); });
+            instance_wait_timer_ = services_.clock.startTimer(Duration::zero(), [this] { sendToNext(); });
         }
     });
 }
 
 /// Nothing is repeated while what runs below is overloaded, so that no relay has to pay for it.
 relay::FailurePlan EntryCall::failurePlan() const {
-    const bool is_last = offered_ + 1 >= plan_.route->max_attempts();
-    if (is_last || services_.is_overloaded(plan_) || !services_.selector.hasReachable(plan_.service, tried_)) {
+    const bool is_last = attempts_made_ + 1 >= plan_.route->max_attempts();
+    if (is_last || services_.is_overloaded(plan_) || !services_.selector.hasReachableRelay(plan_.service, tried_)) {
         return relay::FailurePlan::kGiveUp;
     }
     return plan_.route->is_repeatable() ? relay::FailurePlan::kRepeat : relay::FailurePlan::kRepeatIfNotRun;
@@ -79,21 +79,21 @@
 
 relay::RelayRequest EntryCall::relayRequest(const RelayTarget& target) const {
     const auto objective = std::chrono::milliseconds(plan_.route->objective_ms());
-    const auto share = std::chrono::duration_cast<Duration>(objective * services_.knobs.longest_wait_share);
+    const auto share = std::chrono::duration_cast<Duration>(objective * services_.knobs.max_queue_wait_ratio);
     relay::RelayRequest request;
     request.request = plan_.request;
     request.instance = target.instance;
-    request.is_repeat = offered_ > 0;
-    request.is_repeat_paid = is_repeat_paid_;
+    request.is_repeat = attempts_made_ > 0;
+    request.is_repeat_paid = is_retry_paid_;
     request.failure_plan = failurePlan();
     request.is_counted = is_counted_;
     request.is_suspect = is_suspect_;
     request.is_only_choice = target.is_stopping;
-    request.is_last_choice =
-        refusals_ + 1 >= services_.knobs.most_refusals || tried_.size() >= services_.selector.relayCount(plan_.service);
+    request.is_last_choice = rejections_ + 1 >= services_.knobs.max_rejections ||
+                             tried_.size() >= services_.selector.relayCount(plan_.service);
     request.route = plan_.route->name();
     request.priority = plan_.priority;
-    request.deadline = plan_.deadline - services_.knobs.relay_margin;
+    request.deadline = plan_.deadline - services_.knobs.relay_deadline_margin;
     request.longest_wait = share;
     request.lineage = plan_.lineage;
     return request;
@@ -106,8 +106,8 @@
     services_.selector.onSent(relay_);
     auto request = relayRequest(target);
     if (target.node == services_.directory.self().name()) {
-        own_ = services_.own_relay.start(std::move(request),
-                                         [this](relay::RelayResult result) { onResult(std::move(result)); });
+        local_run_ = services_.own_relay.start(std::move(request),
+                                               [this](relay::RelayResult result) { onResult(std::move(result)); });
         return;
     }
     services_.failure_detector.onCallSent(relay_);
@@ -115,10 +115,10 @@
     const relay::RelayPeer self{services_.directory.self().name(), services_.table.version()};
     attempt_ =
         services_.nodes.send(target.address, relay::toHttp(std::move(request), self, services_.clock.now()),
-                             remaining() + 1s, [this](AttemptResult result) { onRelayAnswer(std::move(result)); });
+                             remaining() + 1s, [this](AttemptResult result) { onRelayResponse(std::move(result)); });
 }
 
-void EntryCall::onRelayAnswer(AttemptResult result) {
+void EntryCall::onRelayResponse(AttemptResult result) {
     if (result.outcome == AttemptOutcome::kAnswered) {
         auto received = relay::fromHttp(std::move(result.answer));
         const bool is_its_own = received.sender.name.empty() || received.sender.name == relay_;
@@ -152,10 +152,10 @@
     onResult(std::move(result));
 }
 
-void EntryCall::onNodeSilent(const std::string& node) {
+void EntryCall::onNodeUnresponsive(const std::string& node) {
     const bool runs_there = relay_ == node && attempt_ != nullptr;
-    const bool may_repeat = plan_.route->is_repeatable() && offered_ + 1 < plan_.route->max_attempts();
-    if (runs_there && may_repeat && services_.selector.hasReachable(plan_.service, tried_)) {
+    const bool may_retry = plan_.route->is_repeatable() && attempts_made_ + 1 < plan_.route->max_attempts();
+    if (runs_there && may_retry && services_.selector.hasReachableRelay(plan_.service, tried_)) {
         onRelayLost("silent", true);
     }
 }
@@ -174,27 +174,27 @@
 }
 
 void EntryCall::onResult(relay::RelayResult result) {
-    own_ = 0;
+    local_run_ = 0;
     const auto ended = std::exchange(attempt_, nullptr);
-    const auto relay = relayEnded();
+    const auto relay = releaseRelay();
     if (result.has_load) {
         services_.selector.onLoad(relay, result.load);
-        services_.observe(plan_, relay, result);
+        services_.on_relay_result(plan_, relay, result);
     }
-    offered_ += result.was_offered ? 1 : 0;
-    is_repeat_paid_ = result.is_repeat_paid || (is_repeat_paid_ && !result.was_offered);
+    attempts_made_ += result.was_offered ? 1 : 0;
+    is_retry_paid_ = result.is_repeat_paid || (is_retry_paid_ && !result.was_offered);
     is_counted_ = is_counted_ || relay::isCounted(result.reason);
     is_suspect_ = is_suspect_ || result.reason == relay::RelayReason::kInstanceEnded;
     is_quarantined_ = result.reason == relay::RelayReason::kQuarantined;
-    const bool has_failed = isOwnFailure(result);
+    const bool has_failed = isInstanceFailure(result);
     if (result.was_offered && result.outcome != relay::RelayOutcome::kNotRun) {
         services_.selector.onOutcome(relay, has_failed);
     }
     switch (result.outcome) {
         case relay::RelayOutcome::kAnswered:
             logAnswered(result, relay);
-            if (has_failed && mayRepeatFailure(result)) {
-                failure_ = std::move(result.answer);
+            if (has_failed && mayRetryFailure(result)) {
+                failure_response_ = std::move(result.answer);
                 sendToNext();
                 return;
             }
@@ -209,34 +209,34 @@
 }
 
 /// An instance's 504 says that the time was up, which tells nothing of the instance.
-bool EntryCall::isOwnFailure(const relay::RelayResult& result) {
+bool EntryCall::isInstanceFailure(const relay::RelayResult& result) {
     return result.outcome == relay::RelayOutcome::kUnknown || result.answer.status == kHttpInternalServerError;
 }
 
 /// Another instance may do better, unless a call below has failed: that was tried elsewhere where it
 /// is worth it, and a repeat here would be a repeat of all calls below. Nor while what runs below is
 /// overloaded: there a repeated tree would take the room of a new one.
-bool EntryCall::mayRepeatFailure(const relay::RelayResult& result) const {
+bool EntryCall::mayRetryFailure(const relay::RelayResult& result) const {
     if (result.failed_below) {
         return false;
     }
-    const bool has_time = remaining() > services_.clock.now() - began_;
-    return plan_.route->is_repeatable() && offered_ < plan_.route->max_attempts() && has_time &&
-           !services_.is_overloaded(plan_) && services_.selector.hasReachable(plan_.service, tried_);
+    const bool has_time = remaining() > services_.clock.now() - started_;
+    return plan_.route->is_repeatable() && attempts_made_ < plan_.route->max_attempts() && has_time &&
+           !services_.is_overloaded(plan_) && services_.selector.hasReachableRelay(plan_.service, tried_);
 }
 
 void EntryCall::onNotRun(const relay::RelayResult& result) {
     is_overload_ = result.reason == relay::RelayReason::kQueueTooLong ||
                    result.reason == relay::RelayReason::kQueueTimeout || result.reason == relay::RelayReason::kSuspect;
-    const bool is_first = refusals_ == 0 && offered_ == 0;
-    has_met_stopping_only_ = (is_first || has_met_stopping_only_) && result.reason == relay::RelayReason::kStopping;
+    const bool is_first = rejections_ == 0 && attempts_made_ == 0;
+    has_met_only_stopping_ = (is_first || has_met_only_stopping_) && result.reason == relay::RelayReason::kStopping;
     const bool is_final =
         is_quarantined_ || result.reason == relay::RelayReason::kRepeatBudget ||
         result.reason == relay::RelayReason::kDeadline ||
-        (result.reason != relay::RelayReason::kDisplaced && ++refusals_ >= services_.knobs.most_refusals) ||
-        offered_ >= plan_.route->max_attempts();
+        (result.reason != relay::RelayReason::kDisplaced && ++rejections_ >= services_.knobs.max_rejections) ||
+        attempts_made_ >= plan_.route->max_attempts();
     if (is_final) {
-        giveUp(relay::reasonText(result.reason), false);
+        fail(relay::reasonText(result.reason), false);
         return;
     }
     sendToNext();
@@ -244,9 +244,9 @@
 
 void EntryCall::onUnknown() {
     may_have_run_ = true;
-    const bool may_repeat = plan_.route->is_repeatable() || services_.weakening.repeats_unrepeatable;
-    if (is_quarantined_ || !may_repeat || offered_ >= plan_.route->max_attempts()) {
-        giveUp(is_quarantined_ ? "quarantined" : "no-whole-answer", false);
+    const bool may_retry = plan_.route->is_repeatable() || services_.weakening.repeats_unrepeatable;
+    if (is_quarantined_ || !may_retry || attempts_made_ >= plan_.route->max_attempts()) {
+        fail(is_quarantined_ ? "quarantined" : "no-whole-answer", false);
         return;
     }
     sendToNext();
@@ -257,23 +257,23 @@
     if (!relay_.empty()) {
         services_.selector.onOutcome(relay_, true);
     }
-    giveUp("timeout", true);
+    fail("timeout", true);
 }
 
-void EntryCall::stopAttempt() {
+void EntryCall::cancelAttempt() {
     on_node_changed_.disconnect();
-    absent_timer_.reset();
-    if (own_ != 0) {
-        services_.own_relay.cancel(std::exchange(own_, 0));
+    instance_wait_timer_.reset();
+    if (local_run_ != 0) {
+        services_.own_relay.cancel(std::exchange(local_run_, 0));
     }
     attempt_.reset();
     if (!relay_.empty()) {
-        relayEnded();
+        releaseRelay();
     }
 }
 
 /// @return the relay that had the attempt.
-std::string EntryCall::relayEnded() {
+std::string EntryCall::releaseRelay() {
     services_.selector.onEnded(relay_);
     services_.failure_detector.onCallEnded(relay_);
     return std::exchange(relay_, "");
@@ -284,16 +284,16 @@
     if (is_quarantined_) {
         return knobs.quarantine_retry_after;
     }
-    const auto least = is_overload_ ? knobs.least_overload_retry_after : knobs.least_retry_after;
-    const auto most = is_overload_ ? knobs.most_overload_retry_after : knobs.most_retry_after;
-    const auto spread = services_.random.below(static_cast<std::uint64_t>((most - least).count()));
-    return least + Duration(static_cast<std::int64_t>(spread));
+    const auto min = is_overload_ ? knobs.min_overload_retry_after : knobs.min_retry_after;
+    const auto max = is_overload_ ? knobs.max_overload_retry_after : knobs.max_retry_after;
+    const auto spread = services_.random.below(static_cast<std::uint64_t>((max - min).count()));
+    return min + Duration(static_cast<std::int64_t>(spread));
 }
 
-void EntryCall::giveUp(const char* reason, bool is_timeout) {
-    stopAttempt();
-    if (failure_) {
-        finish(std::move(*failure_), EntryEnd::kAnswered, "none");
+void EntryCall::fail(const char* reason, bool is_timeout) {
+    cancelAttempt();
+    if (failure_response_) {
+        finish(std::move(*failure_response_), EntryEnd::kAnswered, "none");
         return;
     }
     HttpAnswer answer;
@@ -305,11 +305,11 @@
         answer.status = kHttpServiceUnavailable;
         answer.headers.set("Retry-After", secondsText(retryAfter()));
     }
-    logGivenUp(reason, answer.status);
+    logFailed(reason, answer.status);
     finish(std::move(answer), may_have_run_ ? EntryEnd::kUnknown : EntryEnd::kRefused, reason);
 }
 
-void EntryCall::logGivenUp(const char* reason, int status) const {
+void EntryCall::logFailed(const char* reason, int status) const {
     if (!services_.log.takes("request_given_up")) {
         return;
     }
@@ -319,8 +319,8 @@
                             .with("service", plan_.service)
                             .with("reason", reason)
                             .with("status", status)
-                            .with("offered", offered_)
-                            .with("refusals", refusals_)
+                            .with("offered", attempts_made_)
+                            .with("refusals", rejections_)
                             .with("remaining_ms", toMilliseconds(remaining()))
                             .with("table", services_.table.version()));
 }
@@ -335,8 +335,8 @@
                             .with("service", plan_.service)
                             .with("relay", relay)
                             .with("status", result.answer.status)
-                            .with("offered", offered_)
-                            .with("elapsed_ms", toMilliseconds(services_.clock.now() - began_))
+                            .with("offered", attempts_made_)
+                            .with("elapsed_ms", toMilliseconds(services_.clock.now() - started_))
                             .with("table", services_.table.version()));
 }
 
@@ -345,7 +345,7 @@
     deadline_timer_.reset();
     const int status = answer.status;
     reply_(std::move(answer));
-    end_({end, plan_.route->name(), plan_.service, reason, services_.clock.now() - began_, status});
+    end_({end, plan_.route->name(), plan_.service, reason, services_.clock.now() - started_, status});
 }
 
 }  // namespace dewcrank::entry
--- a/src/entry/entry_call.h
+++ b/src/entry/entry_call.h
@@ -31,24 +31,24 @@
 /// Constants of calls at their entry.
 struct EntryKnobs {
     /// A request waits in a relay's queue for this share of its latency objective at most.
-    double longest_wait_share = 0.25;
+    double max_queue_wait_ratio = 0.25;
     /// While no instance of the service is known, one may be coming back: a request waits for it for this share of its
     /// latency objective. Refused at once, its caller would be away for longer than that.
-    double absent_wait_share = 0.125;
+    double instance_wait_ratio = 0.125;
     /// Relays that may refuse one request before it is refused.
-    std::size_t most_refusals = 3;
+    std::size_t max_rejections = 3;
     /// When a refused caller may come back: uniform between these.
-    Duration least_retry_after = 150ms;
-    Duration most_retry_after = 500ms;
+    Duration min_retry_after = 150ms;
+    Duration max_retry_after = 500ms;
     /// The same under overload, which lasts.
-    Duration least_overload_retry_after = 500ms;
-    Duration most_overload_retry_after = 1600ms;
+    Duration min_overload_retry_after = 500ms;
+    Duration max_overload_retry_after = 1600ms;
     /// When a request that ends the instances that run it may come back: later than any caller waits.
     Duration quarantine_retry_after = 60s;
     /// Less time than this left: no further attempt.
-    Duration least_remaining = 10ms;
+    Duration min_remaining = 10ms;
     /// A relay answers this much before the entry gives up, so that its word is heard.
-    Duration relay_margin = 20ms;
+    Duration relay_deadline_margin = 20ms;
 };
 
 /// A call that has been matched to a route.
@@ -79,7 +79,7 @@
     HeaderNames names;
     EntryKnobs knobs;
     /// Told of each result that a relay has reported.
-    std::function<void(const EntryPlan&, const std::string& relay, const relay::RelayResult&)> observe;
+    std::function<void(const EntryPlan&, const std::string& relay, const relay::RelayResult&)> on_relay_result;
     /// True if relays report that less than all is to be asked of the service, or of one below it.
     std::function<bool(const EntryPlan&)> is_overloaded;
     Weakening weakening;  ///< Tests only.
@@ -116,10 +116,10 @@
 
     void start();
     /// Refuses the call instead of starting it.
-    void refuse(const char* reason);
+    void reject(const char* reason);
     /// A node does not answer probes. If the call runs there and may run twice, it goes elsewhere;
     /// else it waits on: the node may come back with the answer.
-    void onNodeSilent(const std::string& node);
+    void onNodeUnresponsive(const std::string& node);
 
 private:
     void sendToNext();
@@ -127,21 +127,21 @@
     void sendTo(const RelayTarget& target);
     [[nodiscard]] relay::FailurePlan failurePlan() const;
     [[nodiscard]] relay::RelayRequest relayRequest(const RelayTarget& target) const;
-    void onRelayAnswer(AttemptResult result);
+    void onRelayResponse(AttemptResult result);
     void onDisplaced(const relay::ReceivedResult& received);
     void onRelayLost(const std::string& reason, bool was_sent);
-    std::string relayEnded();
+    std::string releaseRelay();
     void onResult(relay::RelayResult result);
-    [[nodiscard]] static bool isOwnFailure(const relay::RelayResult& result);
-    [[nodiscard]] bool mayRepeatFailure(const relay::RelayResult& result) const;
+    [[nodiscard]] static bool isInstanceFailure(const relay::RelayResult& result);
+    [[nodiscard]] bool mayRetryFailure(const relay::RelayResult& result) const;
     void onNotRun(const relay::RelayResult& result);
     void onUnknown();
     void onDeadline();
-    void giveUp(const char* reason, bool is_timeout);
+    void fail(const char* reason, bool is_timeout);
     [[nodiscard]] Duration retryAfter() const;
-    void stopAttempt();
+    void cancelAttempt();
     void finish(HttpAnswer answer, EntryEnd end, const char* reason);
-    void logGivenUp(const char* reason, int status) const;
+    void logFailed(const char* reason, int status) const;
     void logAnswered(const relay::RelayResult& result, const std::string& relay) const;
     [[nodiscard]] Duration remaining() const { return plan_.deadline - services_.clock.now(); }
 
@@ -149,26 +149,26 @@
     EntryPlan plan_;
     ReplyCallback reply_;
     EndCallback end_;
-    TimePoint began_{};
+    TimePoint started_{};
     TimerHandle deadline_timer_;
-    TimerHandle absent_timer_;             ///< While it waits for an instance to come back.
-    sigc::connection on_node_changed_;     ///< The same.
-    std::string relay_;                    ///< The node that has the attempt now; empty: none.
-    AttemptHandle attempt_;                ///< At another node.
-    TimePoint sent_{};                     ///< When that was sent.
-    relay::RelayService::Number own_ = 0;  ///< At this node's own relay.
+    TimerHandle instance_wait_timer_;            ///< While it waits for an instance to come back.
+    sigc::connection on_node_changed_;           ///< The same.
+    std::string relay_;                          ///< The node that has the attempt now; empty: none.
+    AttemptHandle attempt_;                      ///< At another node.
+    TimePoint sent_{};                           ///< When that was sent.
+    relay::RelayService::Number local_run_ = 0;  ///< At this node's own relay.
     std::set<std::string> tried_;
-    std::size_t refusals_ = 0;
-    std::uint32_t offered_ = 0;           ///< Instances that were sent the request.
-    bool is_repeat_paid_ = false;         ///< By the relay at which it failed last.
-    bool is_counted_ = false;             ///< A relay has counted it among its service's requests.
-    bool has_met_stopping_only_ = false;  ///< Each relay that was asked was stopping.
-    bool has_awaited_ = false;            ///< That an instance comes back.
+    std::size_t rejections_ = 0;
+    std::uint32_t attempts_made_ = 0;       ///< Instances that were sent the request.
+    bool is_retry_paid_ = false;            ///< By the relay at which it failed last.
+    bool is_counted_ = false;               ///< A relay has counted it among its service's requests.
+    bool has_met_only_stopping_ = false;    ///< Each relay that was asked was stopping.
+    bool has_waited_for_instance_ = false;  ///< That an instance comes back.
     bool may_have_run_ = false;
-    std::optional<HttpAnswer> failure_;  ///< An instance's own, given if no other instance does better.
-    bool is_overload_ = false;           ///< Refused for want of room, or of instances that could be spared.
-    bool is_suspect_ = false;            ///< An instance has ended while it ran it.
-    bool is_quarantined_ = false;        ///< It is kept from the instances.
+    std::optional<HttpAnswer> failure_response_;  ///< An instance's own, given if no other instance does better.
+    bool is_overload_ = false;                    ///< Refused for want of room, or of instances that could be spared.
+    bool is_suspect_ = false;                     ///< An instance has ended while it ran it.
+    bool is_quarantined_ = false;                 ///< It is kept from the instances.
 };
 
 }  // namespace dewcrank::entry
--- a/src/entry/relay_selector.cc
+++ b/src/entry/relay_selector.cc
@@ -21,22 +21,22 @@
     return count;
 }
 
-RelaySelector::Seen& RelaySelector::seenOf(std::size_t number) {
-    while (seen_.size() <= number) {
-        seen_.emplace_back(knobs_.failure_memory);
+RelaySelector::RelayStats& RelaySelector::statsOf(std::size_t number) {
+    while (stats_.size() <= number) {
+        stats_.emplace_back(knobs_.failure_decay);
     }
-    return seen_[number];
+    return stats_[number];
 }
 
 double RelaySelector::costOf(TimePoint now, const Candidate& candidate) {
-    const auto& seen = seenOf(candidate.number);
-    const auto age = now - seen.reported;
-    const double memory =
-        std::clamp(1 - static_cast<double>(age.count()) / static_cast<double>(knobs_.load_memory.count()), 0.0, 1.0);
-    const double reported = memory * (seen.load.running + seen.load.waiting);
-    const double own_since = seen.in_flight - memory * seen.in_flight_at_report;
+    const auto& stats = statsOf(candidate.number);
+    const auto age = now - stats.reported_at;
+    const double weight =
+        std::clamp(1 - static_cast<double>(age.count()) / static_cast<double>(knobs_.load_decay.count()), 0.0, 1.0);
+    const double reported_load = weight * (stats.load.running + stats.load.waiting);
+    const double sent_since = stats.in_flight - weight * stats.in_flight_at_report;
     const double slots = std::max<std::uint32_t>(1, candidate.record.instance().slots());
-    double cost = std::max(0.0, reported + own_since) / slots;
+    double cost = std::max(0.0, reported_load + sent_since) / slots;
     if (candidate.cold_left > Duration::zero()) {
         cost = cost * knobs_.cold_factor + knobs_.cold_cost;
     }
@@ -44,24 +44,24 @@
         // A full service is one queue, whatever the zone.
         cost += knobs_.other_zone_cost * std::clamp(2 * (1 - cost), 0.0, 1.0);
     }
-    cost += knobs_.failure_cost * seen.failures.fadedAt(now);
+    cost += knobs_.failure_cost * stats.failures.fadedAt(now);
     if (candidate.is_suspected) {
         cost += knobs_.suspected_cost;
     }
-    return cost + knobs_.random_cost * random_.unit();
+    return cost + knobs_.max_random_cost * random_.unit();
 }
 
 RelayTarget RelaySelector::choose(const std::string& service, const std::set<std::string>& excluded) {
     const auto now = clock_.now();
     const wire::NodeRecord* best = nullptr;
-    double least = std::numeric_limits<double>::max();
+    double least_cost = std::numeric_limits<double>::max();
     const auto consider = [&](const Candidate& candidate) {
         if (excluded.contains(candidate.record.name())) {
             return;
         }
         const double cost = costOf(now, candidate);
-        if (cost < least) {
-            least = cost;
+        if (cost < least_cost) {
+            least_cost = cost;
             best = &candidate.record;
         }
     };
@@ -107,7 +107,7 @@
     return relayCount(service) > 0 || !chooseStopping(service, {}).node.empty();
 }
 
-bool RelaySelector::hasReachable(const std::string& service, const std::set<std::string>& excluded) const {
+bool RelaySelector::hasReachableRelay(const std::string& service, const std::set<std::string>& excluded) const {
     const auto& self = directory_.self();
     if (serves(self, service) && !excluded.contains(self.name())) {
         return true;
@@ -120,22 +120,22 @@
 }
 
 void RelaySelector::onSent(const std::string& node) {
-    ++seenOf(node).in_flight;
+    ++statsOf(node).in_flight;
 }
 
 void RelaySelector::onEnded(const std::string& node) {
-    --seenOf(node).in_flight;
+    --statsOf(node).in_flight;
 }
 
 void RelaySelector::onLoad(const std::string& node, const relay::QueueLoad& load) {
-    auto& seen = seenOf(node);
-    seen.load = load;
-    seen.reported = clock_.now();
-    seen.in_flight_at_report = seen.in_flight;
+    auto& stats = statsOf(node);
+    stats.load = load;
+    stats.reported_at = clock_.now();
+    stats.in_flight_at_report = stats.in_flight;
 }
 
 void RelaySelector::onOutcome(const std::string& node, bool has_failed) {
-    seenOf(node).failures.add(clock_.now(), has_failed ? 1 : 0);
+    statsOf(node).failures.add(clock_.now(), has_failed ? 1 : 0);
 }
 
 }  // namespace dewcrank::entry
--- a/src/entry/relay_selector.h
+++ b/src/entry/relay_selector.h
@@ -18,14 +18,14 @@
 struct SelectorKnobs {
     double other_zone_cost = 0.6;
     double cold_cost = 0.3;
-    double cold_factor = 2.0;     ///< A cold instance is about this much slower.
-    double random_cost = 0.05;    ///< Uniform up to this: keeps entries from choosing alike.
-    double suspected_cost = 100;  ///< Chosen only if there is no other.
-    Duration load_memory = 2s;    ///< Reported loads fade over this time.
+    double cold_factor = 2.0;       ///< A cold instance is about this much slower.
+    double max_random_cost = 0.05;  ///< Uniform up to this: keeps entries from choosing alike.
+    double suspected_cost = 100;    ///< Chosen only if there is no other.
+    Duration load_decay = 2s;       ///< Reported loads fade over this time.
     /// Of a relay all of whose calls fail lately; less in proportion. Such a relay goes on getting
     /// some calls as its cost fades, so that its recovery is seen.
     double failure_cost = 3;
-    Duration failure_memory = 2s;
+    Duration failure_decay = 2s;
 };
 
 /// Where a request is sent.
@@ -49,7 +49,7 @@
     /// True if a relay serves the service, be it that it is stopping.
     [[nodiscard]] bool hasRelay(const std::string& service) const;
     /// True if a relay of the service that is not suspected is left beside the excluded ones.
-    [[nodiscard]] bool hasReachable(const std::string& service, const std::set<std::string>& excluded) const;
+    [[nodiscard]] bool hasReachableRelay(const std::string& service, const std::set<std::string>& excluded) const;
     void onSent(const std::string& node);
     void onEnded(const std::string& node);
     void onLoad(const std::string& node, const relay::QueueLoad& load);
@@ -60,10 +60,10 @@
     [[nodiscard]] std::size_t relayCount(const std::string& service) const;
 
 private:
-    struct Seen {
-        explicit Seen(Duration failure_memory) : failures(failure_memory) {}
+    struct RelayStats {
+        explicit RelayStats(Duration failure_decay) : failures(failure_decay) {}
         relay::QueueLoad load;
-        TimePoint reported{};
+        TimePoint reported_at{};
         int in_flight = 0;
         int in_flight_at_report = 0;
         DecayingMean failures;  ///< 1 for each call that failed, 0 for each other.
@@ -80,8 +80,8 @@
         Duration cold_left;
         bool is_suspected;
     };
-    Seen& seenOf(std::size_t number);
-    Seen& seenOf(const std::string& node) { return seenOf(directory_.numberOf(node)); }
+    RelayStats& statsOf(std::size_t number);
+    RelayStats& statsOf(const std::string& node) { return statsOf(directory_.numberOf(node)); }
     double costOf(TimePoint now, const Candidate& candidate);
     [[nodiscard]] RelayTarget chooseStopping(const std::string& service, const std::set<std::string>& excluded) const;
 
@@ -89,7 +89,7 @@
     RandomSource& random_;
     const fleet::NodeDirectory& directory_;
     SelectorKnobs knobs_;
-    std::vector<Seen> seen_;  ///< By the directory's number of the node.
+    std::vector<RelayStats> stats_;  ///< By the directory's number of the node.
 };
 
 }  // namespace dewcrank::entry
--- a/src/quarantine/exchange.cc
+++ b/src/quarantine/exchange.cc
@@ -17,11 +17,11 @@
       quarantine_(quarantine),
       service_(std::move(service)),
       knobs_(knobs) {
-    directory_.signalChanged().connect([this](const std::string&) { askFirst(); });
+    directory_.signalChanged().connect([this](const std::string&) { requestInitialState(); });
 }
 
 void Exchange::start() {
-    timer_ = clock_.startTimer(knobs_.interval, [this] { tick(); });
+    timer_ = clock_.startTimer(knobs_.interval, [this] { gossip(); });
 }
 
 wire::Quarantine Exchange::message() const {
@@ -41,47 +41,47 @@
     return names;
 }
 
-std::vector<std::string> Exchange::randomRelays(std::size_t most) {
+std::vector<std::string> Exchange::randomRelays(std::size_t count) {
     auto names = relays();
-    for (std::size_t place = 0; place < std::min(most, names.size()); ++place) {
+    for (std::size_t place = 0; place < std::min(count, names.size()); ++place) {
         std::swap(names[place], names[place + random_.below(names.size() - place)]);
     }
-    names.resize(std::min(most, names.size()));
+    names.resize(std::min(count, names.size()));
     return names;
 }
 
-void Exchange::tick() {
+void Exchange::gossip() {
     start();
-    const auto told = message();
-    if (told.records_size() == 0) {
+    const auto update = message();
+    if (update.records_size() == 0) {
         return;
     }
     for (const auto& name : randomRelays(knobs_.fanout)) {
-        send(name, told);
+        send(name, update);
     }
 }
 
 /// A process that has just started knows nothing of what instances ended with before.
-void Exchange::askFirst() {
-    if (has_asked_ || directory_.othersWith(service_).empty()) {
+void Exchange::requestInitialState() {
+    if (has_requested_state_ || directory_.othersWith(service_).empty()) {
         return;
     }
-    has_asked_ = true;
-    auto question = message();
-    question.set_are_suspects_wanted(true);
-    for (const auto& name : randomRelays(knobs_.first_asked)) {
-        send(name, question);
+    has_requested_state_ = true;
+    auto query = message();
+    query.set_are_suspects_wanted(true);
+    for (const auto& name : randomRelays(knobs_.initial_requests)) {
+        send(name, query);
     }
 }
 
-void Exchange::tell(const CrashNotice& notice) {
-    auto told = message();
-    told.set_has_instance_ended(true);
+void Exchange::broadcast(const CrashNotice& notice) {
+    auto update = message();
+    update.set_has_instance_ended(true);
     for (const auto fingerprint : notice.suspects) {
-        told.add_suspects(fingerprint);
+        update.add_suspects(fingerprint);
     }
     for (const auto& name : relays()) {
-        send(name, told);
+        send(name, update);
     }
 }
 
@@ -95,15 +95,15 @@
     request.path = std::string(kExchangePath);
     request.headers.set("Content-Type", "application/x-protobuf");
     request.body = message.SerializeAsString();
-    const auto number = ++last_number_;
-    in_flight_[number] = nodes_.send(node->record.address(), std::move(request), knobs_.timeout,
-                                     [this, number, name](const AttemptResult& result) {
-                                         const auto ended = in_flight_.extract(number);
-                                         onAnswer(name, result);
-                                     });
+    const auto id = ++last_id_;
+    in_flight_[id] = nodes_.send(node->record.address(), std::move(request), knobs_.timeout,
+                                 [this, id, name](const AttemptResult& result) {
+                                     const auto ended = in_flight_.extract(id);
+                                     onResponse(name, result);
+                                 });
 }
 
-void Exchange::onAnswer(const std::string& name, const AttemptResult& result) {
+void Exchange::onResponse(const std::string& name, const AttemptResult& result) {
     wire::Quarantine answer;
     const bool is_answered = result.outcome == AttemptOutcome::kAnswered && result.answer.status == kHttpOk &&
                              answer.ParseFromString(result.answer.body);
@@ -114,7 +114,7 @@
     directory_.onReached(name);
     merge(answer);
     for (const auto fingerprint : answer.ended_well()) {
-        quarantine_.onEndedWellElsewhere(fingerprint);
+        quarantine_.onCompletedElsewhere(fingerprint);
     }
 }
 
@@ -122,14 +122,14 @@
     for (const auto& record : message.records()) {
         if (quarantine_.merge(record)) {
             log_.write(Event("quarantine_learned")
-                           .with("fingerprint", textOf(record.fingerprint()))
+                           .with("fingerprint", fingerprintText(record.fingerprint()))
                            .with("from", message.sender())
                            .with("released", record.is_released() ? "yes" : "no")
                            .with("left_ms", record.left_ms()));
         }
     }
     for (const auto fingerprint : message.suspects()) {
-        quarantine_.suspect(fingerprint);
+        quarantine_.markSuspect(fingerprint);
     }
 }
 
@@ -144,18 +144,18 @@
     directory_.onReached(received.sender());
     merge(received);
     if (received.has_instance_ended()) {
-        signal_instance_ended_.emit();
+        signal_instance_crashed_.emit();
     }
     auto reply = message();
-    const auto add_if_well = [&](Fingerprint fingerprint) {
-        if (quarantine_.hasEndedWellLately(fingerprint)) {
+    const auto add_if_completed = [&](Fingerprint fingerprint) {
+        if (quarantine_.hasRecentlyCompleted(fingerprint)) {
             reply.add_ended_well(fingerprint);
         }
     };
-    std::for_each(received.suspects().begin(), received.suspects().end(), add_if_well);
+    std::for_each(received.suspects().begin(), received.suspects().end(), add_if_completed);
     for (const auto& record : received.records()) {
         if (!record.is_released()) {
-            add_if_well(record.fingerprint());
+            add_if_completed(record.fingerprint());
         }
     }
     if (received.are_suspects_wanted()) {
--- a/src/quarantine/exchange.h
+++ b/src/quarantine/exchange.h
@@ -20,7 +20,7 @@
 #include "src/ports/event_log.h"
 #include "src/ports/random_source.h"
 #include "src/quarantine/quarantine.h"
-#include "src/quarantine/run_ledger.h"
+#include "src/quarantine/run_tracker.h"
 
 namespace dewcrank::quarantine {
 
@@ -35,7 +35,7 @@
     Duration interval = 1s;
     std::size_t fanout = 2;
     /// Relays that a relay asks for what they know when it first knows of any.
-    std::size_t first_asked = 2;
+    std::size_t initial_requests = 2;
 };
 
 /// The exchange of one relay with the others of its service.
@@ -46,21 +46,21 @@
 
     void start();
     /// Tells all relays of the service.
-    void tell(const CrashNotice& notice);
+    void broadcast(const CrashNotice& notice);
     /// Emitted when another relay tells that its instance has just ended by itself.
-    sigc::signal<void()>& signalInstanceEnded() { return signal_instance_ended_; }
+    sigc::signal<void()>& signalInstanceCrashed() { return signal_instance_crashed_; }
     /// Answers another relay's message.
     HttpAnswer handle(const HttpRequest& request);
 
 private:
     [[nodiscard]] wire::Quarantine message() const;
     [[nodiscard]] std::vector<std::string> relays() const;
-    [[nodiscard]] std::vector<std::string> randomRelays(std::size_t most);
-    void tick();
-    void askFirst();
+    [[nodiscard]] std::vector<std::string> randomRelays(std::size_t count);
+    void gossip();
+    void requestInitialState();
     void merge(const wire::Quarantine& message);
     void send(const std::string& name, const wire::Quarantine& message);
-    void onAnswer(const std::string& name, const AttemptResult& result);
+    void onResponse(const std::string& name, const AttemptResult& result);
 
     Clock& clock_;
     RandomSource& random_;
@@ -70,9 +70,9 @@
     Quarantine& quarantine_;
     std::string service_;
     ExchangeKnobs knobs_;
-    sigc::signal<void()> signal_instance_ended_;
-    bool has_asked_ = false;
-    std::uint64_t last_number_ = 0;
+    sigc::signal<void()> signal_instance_crashed_;
+    bool has_requested_state_ = false;
+    std::uint64_t last_id_ = 0;
     std::map<std::uint64_t, AttemptHandle> in_flight_;
     TimerHandle timer_;
 };
--- a/src/quarantine/fingerprint.cc
+++ b/src/quarantine/fingerprint.cc
@@ -22,7 +22,7 @@
     return hashOf(request.body, hash);
 }
 
-std::string textOf(Fingerprint fingerprint) {
+std::string fingerprintText(Fingerprint fingerprint) {
     char text[17];
     std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(fingerprint));
     return text;
--- a/src/quarantine/fingerprint.h
+++ b/src/quarantine/fingerprint.h
@@ -18,6 +18,6 @@
 [[nodiscard]] Fingerprint fingerprintOf(const HttpRequest& request);
 
 /// As it stands in log lines: 16 hexadecimal digits.
-[[nodiscard]] std::string textOf(Fingerprint fingerprint);
+[[nodiscard]] std::string fingerprintText(Fingerprint fingerprint);
 
 }  // namespace dewcrank::quarantine
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -5,19 +5,19 @@
 namespace dewcrank::quarantine {
 
 Quarantine::Quarantine(Clock& clock, QuarantineKnobs knobs)
-    : clock_(clock), knobs_(knobs), good_ends_(knobs.good_ends) {}
+    : clock_(clock), knobs_(knobs), recent_completions_(knobs.recent_completions) {}
 
-Standing Quarantine::standing(Fingerprint fingerprint) const {
+QuarantineState Quarantine::state(Fingerprint fingerprint) const {
     const auto now = clock_.now();
     const auto record = records_.find(fingerprint);
     if (record != records_.end() && !record->second.is_released) {
-        return record->second.until > now ? Standing::kQuarantined : Standing::kSuspect;
+        return record->second.until > now ? QuarantineState::kQuarantined : QuarantineState::kSuspect;
     }
     const auto suspect = suspects_.find(fingerprint);
-    return suspect != suspects_.end() && suspect->second > now ? Standing::kSuspect : Standing::kClear;
+    return suspect != suspects_.end() && suspect->second > now ? QuarantineState::kSuspect : QuarantineState::kClear;
 }
 
-Duration Quarantine::left(Fingerprint fingerprint) const {
+Duration Quarantine::remainingTerm(Fingerprint fingerprint) const {
     const auto it = records_.find(fingerprint);
     if (it == records_.end() || it->second.is_released) {
         return {};
@@ -25,47 +25,47 @@
     return std::max(Duration::zero(), it->second.until - clock_.now());
 }
 
-bool Quarantine::suspect(Fingerprint fingerprint) {
-    if (hasEndedWellLately(fingerprint)) {
+bool Quarantine::markSuspect(Fingerprint fingerprint) {
+    if (hasRecentlyCompleted(fingerprint)) {
         return false;
     }
-    suspects_[fingerprint] = clock_.now() + knobs_.suspicion;
-    forgetOld();
+    suspects_[fingerprint] = clock_.now() + knobs_.suspicion_timeout;
+    evictStale();
     return true;
 }
 
-void Quarantine::convict(Fingerprint fingerprint) {
+void Quarantine::markQuarantined(Fingerprint fingerprint) {
     suspects_.erase(fingerprint);
-    change(fingerprint, false);
+    updateRecord(fingerprint, false);
 }
 
 void Quarantine::release(Fingerprint fingerprint) {
     suspects_.erase(fingerprint);
     const auto it = records_.find(fingerprint);
     if (it != records_.end() && !it->second.is_released) {
-        change(fingerprint, true);
+        updateRecord(fingerprint, true);
     }
 }
 
-void Quarantine::onEndedWell(Fingerprint fingerprint) {
-    good_ends_.add(clock_.now(), fingerprint);
+void Quarantine::onCompleted(Fingerprint fingerprint) {
+    recent_completions_.add(clock_.now(), fingerprint);
     release(fingerprint);
 }
 
-void Quarantine::onEndedWellElsewhere(Fingerprint fingerprint) {
+void Quarantine::onCompletedElsewhere(Fingerprint fingerprint) {
     release(fingerprint);
 }
 
-bool Quarantine::hasEndedWellLately(Fingerprint fingerprint) const {
-    return good_ends_.contains(clock_.now(), fingerprint);
+bool Quarantine::hasRecentlyCompleted(Fingerprint fingerprint) const {
+    return recent_completions_.contains(clock_.now(), fingerprint);
 }
 
-void Quarantine::change(Fingerprint fingerprint, bool is_released) {
+void Quarantine::updateRecord(Fingerprint fingerprint, bool is_released) {
     auto& it = records_[fingerprint];
     ++it.version;
     it.is_released = is_released;
-    it.until = clock_.now() + std::min(knobs_.longest_term, knobs_.first_term * it.version);
-    forgetOld();
+    it.until = clock_.now() + std::min(knobs_.max_term, knobs_.initial_term * it.version);
+    evictStale();
 }
 
 /// Of two relays that have changed a record at the same time, the one that has quarantined it is believed.
@@ -75,26 +75,26 @@
     const bool is_newer = !is_known || record.version() > known->second.version;
     const bool is_stricter =
         is_known && record.version() == known->second.version && known->second.is_released && !record.is_released();
-    const bool is_contradicted = !record.is_released() && hasEndedWellLately(record.fingerprint());
+    const bool is_contradicted = !record.is_released() && hasRecentlyCompleted(record.fingerprint());
     if ((!is_newer && !is_stricter) || is_contradicted) {
         return false;
     }
-    const Duration left = std::min<Duration>(std::chrono::milliseconds(record.left_ms()), knobs_.longest_term);
-    records_[record.fingerprint()] = {record.version(), record.is_released(), clock_.now() + left};
+    const Duration remainingTerm = std::min<Duration>(std::chrono::milliseconds(record.left_ms()), knobs_.max_term);
+    records_[record.fingerprint()] = {record.version(), record.is_released(), clock_.now() + remainingTerm};
     suspects_.erase(record.fingerprint());
-    forgetOld();
+    evictStale();
     return true;
 }
 
 std::vector<wire::QuarantineRecord> Quarantine::records() const {
     std::vector<wire::QuarantineRecord> all;
     for (const auto& [fingerprint, it] : records_) {
-        const auto left = std::max(Duration::zero(), it.until - clock_.now());
+        const auto remainingTerm = std::max(Duration::zero(), it.until - clock_.now());
         wire::QuarantineRecord record;
         record.set_fingerprint(fingerprint);
         record.set_version(it.version);
         record.set_is_released(it.is_released);
-        record.set_left_ms(static_cast<std::uint32_t>(toMilliseconds(left)));
+        record.set_left_ms(static_cast<std::uint32_t>(toMilliseconds(remainingTerm)));
         all.push_back(std::move(record));
     }
     return all;
@@ -117,18 +117,18 @@
 }
 
 /// A record is kept for one more first term after its own, in which its request counts as a suspect.
-void Quarantine::forgetOld() {
+void Quarantine::evictStale() {
     const auto now = clock_.now();
-    std::erase_if(records_, [&](const auto& entry) { return entry.second.until + knobs_.first_term < now; });
-    while (records_.size() > knobs_.most_records) {
+    std::erase_if(records_, [&](const auto& entry) { return entry.second.until + knobs_.initial_term < now; });
+    while (records_.size() > knobs_.max_records) {
         records_.erase(std::min_element(records_.begin(), records_.end(),
                                         [](const auto& a, const auto& b) { return a.second.until < b.second.until; }));
     }
-    if (suspects_.size() <= knobs_.most_suspects) {
+    if (suspects_.size() <= knobs_.max_suspects) {
         return;
     }
     std::erase_if(suspects_, [now](const auto& entry) { return entry.second <= now; });
-    while (suspects_.size() > knobs_.most_suspects) {
+    while (suspects_.size() > knobs_.max_suspects) {
         suspects_.erase(std::min_element(suspects_.begin(), suspects_.end(),
                                          [](const auto& a, const auto& b) { return a.second < b.second; }));
     }
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -24,27 +24,27 @@
 #include "src/base/time.h"
 #include "src/ports/clock.h"
 #include "src/quarantine/fingerprint.h"
-#include "src/quarantine/good_ends.h"
+#include "src/quarantine/recent_completions.h"
 
 namespace dewcrank::quarantine {
 
 /// Constants of the quarantine of one relay.
 struct QuarantineKnobs {
     /// A suspect that is not asked for again is forgotten after this: longer than callers go on trying.
-    Duration suspicion = 60s;
+    Duration suspicion_timeout = 60s;
     /// A term of quarantine; the next one of the same request is as much longer. A request that always ends
     /// its instance ends one of each service in ten minutes then, and less and less.
-    Duration first_term = std::chrono::minutes(10);
-    Duration longest_term = std::chrono::hours(24);
+    Duration initial_term = std::chrono::minutes(10);
+    Duration max_term = std::chrono::hours(24);
     /// Bounds of memory: the oldest suspects, and the records with least of their term left, go first. An
     /// instance of 200 slots leaves 200 suspects; 4,096 take about 0.3 MB.
-    std::size_t most_suspects = 4096;
-    std::size_t most_records = 256;
-    GoodEndKnobs good_ends;
+    std::size_t max_suspects = 4096;
+    std::size_t max_records = 256;
+    RecentCompletionKnobs recent_completions;
 };
 
 /// How a relay treats a request.
-enum class Standing {
+enum class QuarantineState {
     kClear,
     kSuspect,      ///< Runs only while no other suspect does.
     kQuarantined,  ///< Does not run.
@@ -56,21 +56,21 @@
 public:
     Quarantine(Clock& clock, QuarantineKnobs knobs);
 
-    [[nodiscard]] Standing standing(Fingerprint fingerprint) const;
+    [[nodiscard]] QuarantineState state(Fingerprint fingerprint) const;
     /// How much longer it is quarantined; zero if it is not.
-    [[nodiscard]] Duration left(Fingerprint fingerprint) const;
+    [[nodiscard]] Duration remainingTerm(Fingerprint fingerprint) const;
 
     /// It ran when an instance ended, here or at another relay. What has ended well here lately is not
     /// suspected: requests that are asked for often run at every crash, whatever the cause.
     /// @return false if it is not suspected.
-    bool suspect(Fingerprint fingerprint);
+    bool markSuspect(Fingerprint fingerprint);
     /// It was the one suspect that ran when an instance ended.
-    void convict(Fingerprint fingerprint);
+    void markQuarantined(Fingerprint fingerprint);
     /// It was answered by an instance, which goes on.
-    void onEndedWell(Fingerprint fingerprint);
+    void onCompleted(Fingerprint fingerprint);
     /// The same at another relay.
-    void onEndedWellElsewhere(Fingerprint fingerprint);
-    [[nodiscard]] bool hasEndedWellLately(Fingerprint fingerprint) const;
+    void onCompletedElsewhere(Fingerprint fingerprint);
+    [[nodiscard]] bool hasRecentlyCompleted(Fingerprint fingerprint) const;
 
     /// Takes over what another relay knows. @return true if it was news.
     bool merge(const wire::QuarantineRecord& record);
@@ -86,15 +86,15 @@
         bool is_released = false;
         TimePoint until{};  ///< End of the term, of a release as well: so long it holds against older news.
     };
-    void change(Fingerprint fingerprint, bool is_released);
+    void updateRecord(Fingerprint fingerprint, bool is_released);
     void release(Fingerprint fingerprint);
-    void forgetOld();
+    void evictStale();
 
     Clock& clock_;
     QuarantineKnobs knobs_;
     std::map<Fingerprint, TimePoint> suspects_;  ///< With the time from which on each is forgotten.
     std::map<Fingerprint, Record> records_;
-    GoodEnds good_ends_;
+    RecentCompletions recent_completions_;
 };
 
 }  // namespace dewcrank::quarantine
--- a/src/quarantine/good_ends.h
+++ b/src/quarantine/recent_completions.h
@@ -11,32 +11,32 @@
 namespace dewcrank::quarantine {
 
 /// Constants of the memory.
-struct GoodEndKnobs {
-    Duration memory = 10s;
+struct RecentCompletionKnobs {
+    Duration retention = 10s;
     /// Places of 16 bytes: 64 KB. The later of two requests that share a place stays.
-    std::size_t places = 4096;
+    std::size_t entries = 4096;
 };
 
 /// A table by a part of the fingerprint. What it says is true; it may have forgotten some.
-class GoodEnds {
+class RecentCompletions {
 public:
-    explicit GoodEnds(GoodEndKnobs knobs) : knobs_(knobs), places_(knobs.places) {}
+    explicit RecentCompletions(RecentCompletionKnobs knobs) : knobs_(knobs), entries_(knobs.entries) {}
 
-    void add(TimePoint now, Fingerprint fingerprint) { placeOf(fingerprint) = {fingerprint, now}; }
+    void add(TimePoint now, Fingerprint fingerprint) { entryOf(fingerprint) = {fingerprint, now}; }
     [[nodiscard]] bool contains(TimePoint now, Fingerprint fingerprint) const {
-        const auto& it = places_[fingerprint % places_.size()];
-        return it.fingerprint == fingerprint && it.at != TimePoint{} && now - it.at < knobs_.memory;
+        const auto& it = entries_[fingerprint % entries_.size()];
+        return it.fingerprint == fingerprint && it.at != TimePoint{} && now - it.at < knobs_.retention;
     }
 
 private:
-    struct Place {
+    struct Entry {
         Fingerprint fingerprint = 0;
         TimePoint at{};  ///< The epoch: none.
     };
-    Place& placeOf(Fingerprint fingerprint) { return places_[fingerprint % places_.size()]; }
+    Entry& entryOf(Fingerprint fingerprint) { return entries_[fingerprint % entries_.size()]; }
 
-    GoodEndKnobs knobs_;
-    std::vector<Place> places_;
+    RecentCompletionKnobs knobs_;
+    std::vector<Entry> entries_;
 };
 
 }  // namespace dewcrank::quarantine
--- a/src/quarantine/run_ledger.cc
+++ b/src/quarantine/run_tracker.cc
@@ -1,4 +1,4 @@
-#include "src/quarantine/run_ledger.h"
+#include "src/quarantine/run_tracker.h"
 
 #include <algorithm>
 
@@ -8,57 +8,57 @@
 
 /// How long an instance may go on with a run whose connection was closed: as long as runs that ended instances took
 /// (70 to 80 ms), and as much again for its end to be told.
-constexpr Duration kCancelledMemory = 150ms;
+constexpr Duration kCancelledRetention = 150ms;
 
 /// How long a run whose connection was lost counts: until the next instance has started and sent a heartbeat.
-constexpr Duration kLostMemory = 5s;
+constexpr Duration kLostRetention = 5s;
 /// Bound of memory: some instances' worth of runs.
-constexpr std::size_t kMostFormer = 1024;
+constexpr std::size_t kMaxEndedRuns = 1024;
 
 }  // namespace
 
-void RunLedger::onCancelled(Number number) {
-    keep(number, kCancelledMemory);
+void RunTracker::onCancelled(RunId id) {
+    retain(id, kCancelledRetention);
 }
 
-void RunLedger::onLost(Number number) {
-    keep(number, kLostMemory);
+void RunTracker::onConnectionLost(RunId id) {
+    retain(id, kLostRetention);
 }
 
-void RunLedger::keep(Number number, Duration memory) {
-    forgetOld();
-    auto ended = runs_.extract(number);
+void RunTracker::retain(RunId id, Duration retention) {
+    evictStale();
+    auto ended = runs_.extract(id);
     if (!ended.empty()) {
-        former_.push_back({std::move(ended.mapped()), clock_.now() + memory});
+        ended_runs_.push_back({std::move(ended.mapped()), clock_.now() + retention});
     }
 }
 
-void RunLedger::forgetOld() {
-    std::erase_if(former_, [now = clock_.now()](const Former& it) { return it.until < now; });
-    while (former_.size() >= kMostFormer) {
-        former_.pop_front();
+void RunTracker::evictStale() {
+    std::erase_if(ended_runs_, [now = clock_.now()](const EndedRun& it) { return it.until < now; });
+    while (ended_runs_.size() >= kMaxEndedRuns) {
+        ended_runs_.pop_front();
     }
 }
 
-std::size_t RunLedger::runningAt(const std::string& instance) const {
+std::size_t RunTracker::runningAt(const std::string& instance) const {
     return static_cast<std::size_t>(std::count_if(
         runs_.begin(), runs_.end(), [&](const auto& entry) { return entry.second.instance == instance; }));
 }
 
-bool RunLedger::holdsAny(const std::string& instance) {
-    forgetOld();
+bool RunTracker::hasRuns(const std::string& instance) {
+    evictStale();
     return !runsOf(instance).empty();
 }
 
 /// Former ones first, so that of several trials the last is the one that was there at the end.
-std::vector<const Run*> RunLedger::runsOf(const std::string& instance) const {
+std::vector<const Run*> RunTracker::runsOf(const std::string& instance) const {
     std::vector<const Run*> found;
-    for (const auto& it : former_) {
+    for (const auto& it : ended_runs_) {
         if (it.run.instance == instance) {
             found.push_back(&it.run);
         }
     }
-    for (const auto& [number, run] : runs_) {
+    for (const auto& [id, run] : runs_) {
         if (run.instance == instance) {
             found.push_back(&run);
         }
@@ -66,23 +66,23 @@
     return found;
 }
 
-CrashNotice RunLedger::blame(const std::string& instance) {
-    forgetOld();
+CrashNotice RunTracker::attributeCrash(const std::string& instance) {
+    evictStale();
     const auto runs = runsOf(instance);
     CrashNotice notice;
     notice.instance = instance;
     notice.runs = runs.size();
     const auto trial = std::find_if(runs.rbegin(), runs.rend(), [](const Run* run) { return run->is_trial; });
     if (trial != runs.rend()) {
-        convict(**trial, &notice);
+        markQuarantined(**trial, &notice);
     }
     for (const auto* run : runs) {
         const bool is_convicted = trial != runs.rend() && run->fingerprint == (*trial)->fingerprint;
-        if (!is_convicted && quarantine_.suspect(run->fingerprint)) {
+        if (!is_convicted && quarantine_.markSuspect(run->fingerprint)) {
             notice.suspects.push_back(run->fingerprint);
         }
     }
-    std::erase_if(former_, [&](const Former& it) { return it.run.instance == instance; });
+    std::erase_if(ended_runs_, [&](const EndedRun& it) { return it.run.instance == instance; });
     log_.write(Event("instance_crashed")
                    .with("instance", instance)
                    .with("runs", notice.runs)
@@ -91,15 +91,15 @@
     return notice;
 }
 
-void RunLedger::convict(const Run& run, CrashNotice* notice) {
-    quarantine_.convict(run.fingerprint);
+void RunTracker::markQuarantined(const Run& run, CrashNotice* notice) {
+    quarantine_.markQuarantined(run.fingerprint);
     notice->quarantined.push_back(run.fingerprint);
     log_.write(Event("request_quarantined")
                    .with("request", run.request)
-                   .with("fingerprint", textOf(run.fingerprint))
+                   .with("fingerprint", fingerprintText(run.fingerprint))
                    .with("route", run.route)
                    .with("instance", run.instance)
-                   .with("left_ms", toMilliseconds(quarantine_.left(run.fingerprint))));
+                   .with("left_ms", toMilliseconds(quarantine_.remainingTerm(run.fingerprint))));
 }
 
 }  // namespace dewcrank::quarantine
--- a/src/quarantine/run_ledger.h
+++ b/src/quarantine/run_tracker.h
@@ -34,43 +34,43 @@
 /// Runs of a relay's instance. Those that were cancelled just now count: an instance may go on for a moment with what
 /// its caller has left. So do those whose connection was lost lately: the end of the instance may be told later, by
 /// a node that reads slowly, or by the next instance in its place.
-class RunLedger {
+class RunTracker {
 public:
-    using Number = std::uint64_t;
+    using RunId = std::uint64_t;
 
-    RunLedger(Clock& clock, EventLog& log, Quarantine& quarantine)
+    RunTracker(Clock& clock, EventLog& log, Quarantine& quarantine)
         : clock_(clock), log_(log), quarantine_(quarantine) {}
 
-    void onSent(Number number, Run run) { runs_[number] = std::move(run); }
+    void onSent(RunId id, Run run) { runs_[id] = std::move(run); }
     /// Answered, or known not to have been sent.
-    void onEnded(Number number) { runs_.erase(number); }
-    void onCancelled(Number number);
+    void onEnded(RunId id) { runs_.erase(id); }
+    void onCancelled(RunId id);
     /// Its connection has broken.
-    void onLost(Number number);
+    void onConnectionLost(RunId id);
     /// Those that go on.
     [[nodiscard]] std::size_t runningAt(const std::string& instance) const;
     /// True if an end of this instance would be blamed on any run.
-    [[nodiscard]] bool holdsAny(const std::string& instance);
+    [[nodiscard]] bool hasRuns(const std::string& instance);
     /// An instance has ended by itself: the one suspect that ran there is to blame, and everything else that ran
     /// there is suspected from now on.
-    CrashNotice blame(const std::string& instance);
+    CrashNotice attributeCrash(const std::string& instance);
 
 private:
     /// A run that is over, and until when it counts.
-    struct Former {
+    struct EndedRun {
         Run run;
         TimePoint until{};
     };
-    void keep(Number number, Duration memory);
-    void forgetOld();
+    void retain(RunId id, Duration retention);
+    void evictStale();
     [[nodiscard]] std::vector<const Run*> runsOf(const std::string& instance) const;
-    void convict(const Run& run, CrashNotice* notice);
+    void markQuarantined(const Run& run, CrashNotice* notice);
 
     Clock& clock_;
     EventLog& log_;
     Quarantine& quarantine_;
-    std::map<Number, Run> runs_;
-    std::deque<Former> former_;  ///< kMostFormer at most; the oldest first.
+    std::map<RunId, Run> runs_;
+    std::deque<EndedRun> ended_runs_;  ///< kMostFormer at most; the oldest first.
 };
 
 }  // namespace dewcrank::quarantine
--- a/src/relay/relay_service.cc
+++ b/src/relay/relay_service.cc
@@ -37,7 +37,7 @@
     if (knobs_.weakening.tries_suspects_at_once) {
         return;
     }
-    trials_.gate().setView([this, view] {
+    trials_.gate().setConditionsSource([this, view] {
         const auto load = queue_.load();
         const double slots = std::max<std::uint32_t>(1, load.limit);
         const double busy = std::max<double>(load.running + load.waiting, serviceLoad().busy);
@@ -65,7 +65,7 @@
         const bool is_same = instance_.record().id() == request.instance;
         return is_same ? RelayReason::kDraining : RelayReason::kOtherInstance;
     }
-    if (quarantine_.standing(running.fingerprint) == quarantine::Standing::kQuarantined) {
+    if (quarantine_.state(running.fingerprint) == quarantine::QuarantineState::kQuarantined) {
         return RelayReason::kQuarantined;
     }
     const bool may_repeat = knobs_.weakening.repeats_without_budget || repeats_.mayRepeat(request);
@@ -80,16 +80,16 @@
     running.fingerprint = quarantine::fingerprintOf(running.request.request);
     running.callback = std::move(callback);
     running.request.deadline = std::min(running.request.deadline, stops_at_.value_or(TimePoint::max()));
-    if (running.request.is_suspect && quarantine_.standing(running.fingerprint) == quarantine::Standing::kClear) {
-        quarantine_.suspect(running.fingerprint);
-        trials_.gate().onInstanceEnded();  // The news of it is still on its way.
+    if (running.request.is_suspect && quarantine_.state(running.fingerprint) == quarantine::QuarantineState::kClear) {
+        quarantine_.markSuspect(running.fingerprint);
+        trials_.gate().onInstanceCrashed();  // The news of it is still on its way.
     }
     if (const auto refusal = refusalOf(running); refusal != RelayReason::kNone) {
         refuseLater(number, refusal);
         return number;
     }
     repeats_.count(running.request);
-    const bool is_suspect = quarantine_.standing(running.fingerprint) == quarantine::Standing::kSuspect;
+    const bool is_suspect = quarantine_.state(running.fingerprint) == quarantine::QuarantineState::kSuspect;
     is_suspect ? enterTrials(number) : enterQueue(number);
     return number;
 }
@@ -113,7 +113,7 @@
         return;
     }
     running.is_trial = true;
-    if (quarantine_.standing(running.fingerprint) == quarantine::Standing::kQuarantined) {
+    if (quarantine_.state(running.fingerprint) == quarantine::QuarantineState::kQuarantined) {
         refuseLater(number, RelayReason::kQuarantined);
     } else if (!takes(running.request.instance)) {
         refuseLater(number, RelayReason::kDraining);
@@ -126,11 +126,11 @@
     const auto conditions = trials_.gate().conditions();
     log_.write(Event("trial_put_off")
                    .with("request", running.id)
-                   .with("fingerprint", quarantine::textOf(running.fingerprint))
+                   .with("fingerprint", quarantine::fingerprintText(running.fingerprint))
                    .with("up", conditions.replicas.up)
                    .with("away", conditions.replicas.away)
                    .with("place", conditions.replicas.place)
-                   .with("use", conditions.use));
+                   .with("use", conditions.utilization));
 }
 
 /// Requests are let in by the time until which they can wait, and by priority. Calls of trees that
@@ -239,11 +239,11 @@
 void RelayService::onCrashJudged(bool has_ended) {
     auto broken = std::exchange(broken_, {});
     if (has_ended && judged_life_ == instance::lifeName(instance_.record())) {
-        onInstanceEnded(judged_life_);
+        onInstanceCrashed(judged_life_);
     }
     for (auto& it : broken) {
         if (const auto found = running_.find(it.number); found != running_.end()) {
-            runs_.onLost(it.number);
+            runs_.onConnectionLost(it.number);
             finish(it.number, judge(*found->second, std::move(it.result)));
         }
     }
@@ -257,8 +257,8 @@
     if (life != seen_life_) {
         const auto former = std::exchange(seen_life_, life);
         const auto former_born = std::exchange(seen_born_, record.born_ms());
-        if (!is_leaving_ && runs_.holdsAny(former)) {
-            onInstanceEnded(former);
+        if (!is_leaving_ && runs_.hasRuns(former)) {
+            onInstanceCrashed(former);
         }
         if (former_born > 0 && record.born_ms() > former_born) {
             endRunsOf(former);
@@ -271,13 +271,13 @@
     }
 }
 
-void RelayService::onInstanceEnded(const std::string& life) {
+void RelayService::onInstanceCrashed(const std::string& life) {
     if (life == ended_life_ || is_leaving_) {
         return;
     }
     ended_life_ = life;
-    trials_.gate().onInstanceEnded();
-    signal_crashed_.emit(runs_.blame(life));
+    trials_.gate().onInstanceCrashed();
+    signal_crashed_.emit(runs_.attributeCrash(life));
     if (instance::lifeName(instance_.record()) == life) {
         instance_.onUnreachable();
     }
@@ -313,7 +313,7 @@
     judged.reason = judged.was_offered ? RelayReason::kNoWholeAnswer : RelayReason::kNotConnected;
     if (judged.was_offered && running.life == ended_life_) {
         // Its entry knows of the verdict before the other relays do: sent on, it would end one more.
-        const bool is_convicted = quarantine_.standing(running.fingerprint) == quarantine::Standing::kQuarantined;
+        const bool is_convicted = quarantine_.state(running.fingerprint) == quarantine::QuarantineState::kQuarantined;
         judged.reason = is_convicted ? RelayReason::kQuarantined : RelayReason::kInstanceEnded;
     }
     if (!judged.was_offered) {
@@ -326,7 +326,7 @@
                    .with("reason", result.reason)
                    .with("sent", judged.was_offered ? "yes" : "no")
                    .with("route", running.request.route)
-                   .with("fingerprint", quarantine::textOf(running.fingerprint)));
+                   .with("fingerprint", quarantine::fingerprintText(running.fingerprint)));
     return judged;
 }
 
@@ -373,7 +373,7 @@
     onRunEnded(running, is_answered && isSuccess(result.answer.status));
     const auto time = is_answered ? clock_.now() - running.sent : Duration::zero();
     if (is_answered) {
-        quarantine_.onEndedWell(running.fingerprint);
+        quarantine_.onCompleted(running.fingerprint);
         demand_.onAnswered(running.request.route, time);
     }
     leaveQueues(number, running, time);
--- a/src/relay/relay_service.h
+++ b/src/relay/relay_service.h
@@ -24,7 +24,7 @@
 #include "src/ports/clock.h"
 #include "src/ports/event_log.h"
 #include "src/quarantine/quarantine.h"
-#include "src/quarantine/run_ledger.h"
+#include "src/quarantine/run_tracker.h"
 #include "src/relay/caller_census.h"
 #include "src/relay/crash_watch.h"
 #include "src/relay/instance_queue.h"
@@ -87,7 +87,7 @@
     /// @param view of the service's instances, by which suspects are let run.
     void setReplicaView(const std::function<fleet::Replicas()>& view);
     /// An instance of the service beside another node has ended by itself.
-    void onInstanceEndedElsewhere() { trials_.gate().onInstanceEnded(); }
+    void onInstanceEndedElsewhere() { trials_.gate().onInstanceCrashed(); }
     /// @param count of relays that take requests of the service now.
     void setRelayCount(std::size_t count) { repeats_.setRelayCount(count); }
     [[nodiscard]] std::size_t inFlight() const { return running_.size(); }
@@ -136,7 +136,7 @@
     };
     void onInstanceChanged();
     void onCrashJudged(bool has_ended);
-    void onInstanceEnded(const std::string& life);
+    void onInstanceCrashed(const std::string& life);
     void endRunsOf(const std::string& life);
     RelayResult judge(const Running& running, AttemptResult result);
     RelayResult judgeAnswer(const Running& running, HttpAnswer answer);
@@ -155,7 +155,7 @@
     InstanceQueue queue_;
     SuspectTrials trials_;
     CrashWatch crash_watch_;
-    quarantine::RunLedger runs_;
+    quarantine::RunTracker runs_;
     std::vector<Broken> broken_;  ///< Until the watch has judged.
     // Lives of the instance, by name:
     std::string seen_life_;        ///< Whose runs are counted as lost if another one comes without its leave;
--- a/src/sidecar/sidecar_node.cc
+++ b/src/sidecar/sidecar_node.cc
@@ -89,11 +89,11 @@
       load_log_(ports.clock, ports.log, settings_.service, relay_, bottlenecks_, settings_.knobs.relay.repeats) {
     instance_.signalChanged().connect([this] { publishSelf(); });
     relay_.signalCrashed().connect(
-        [this](const quarantine::CrashNotice& notice) { quarantine_exchange_.tell(notice); });
+        [this](const quarantine::CrashNotice& notice) { quarantine_exchange_.broadcast(notice); });
     relay_.setReplicaView([this] { return fleet::replicasOf(directory_, settings_.service); });
-    quarantine_exchange_.signalInstanceEnded().connect([this] { relay_.onInstanceEndedElsewhere(); });
+    quarantine_exchange_.signalInstanceCrashed().connect([this] { relay_.onInstanceEndedElsewhere(); });
     table_.signalAdopted().connect([this] { setProbePath(); });
-    failure_detector_.signalSilent().connect([this](const std::string& name) { onNodeSilent(name); });
+    failure_detector_.signalSilent().connect([this](const std::string& name) { onNodeUnresponsive(name); });
     directory_.signalChanged().connect(
         [this](const std::string&) { relay_.setRelayCount(selector_.relayCount(settings_.service)); });
 }
@@ -176,32 +176,32 @@
 
 void SidecarNode::onIntake(CallNumber number, HttpRequest request, entry::CallIntake::Outcome outcome,
                            const ReplyCallback& reply) {
-    if (const auto* turned = std::get_if<entry::TurnedAway>(&outcome)) {
+    if (const auto* turned = std::get_if<entry::Rejected>(&outcome)) {
         turnAway(request, *turned, reply);
     } else {
         beginCall(number, std::move(request), std::get<entry::Admitted>(outcome), reply);
     }
 }
 
-void SidecarNode::turnAway(const HttpRequest& request, const entry::TurnedAway& turned, const ReplyCallback& reply) {
-    const auto& refusal = turned.refusal;
+void SidecarNode::turnAway(const HttpRequest& request, const entry::Rejected& turned, const ReplyCallback& reply) {
+    const auto& rejection = turned.rejection;
     const auto route = turned.route == nullptr ? std::string("none") : turned.route->name();
     if (ports_.log.takes("request_turned_away")) {
         ports_.log.write(Event("request_turned_away")
                              .with("request", request.headers.get(settings_.header_names.request_id))
                              .with("route", route)
-                             .with("reason", refusal.reason)
-                             .with("status", refusal.status)
+                             .with("reason", rejection.reason)
+                             .with("status", rejection.status)
                              .with("table", table_.version())
                              .with("table_age_ms", tableAge() ? toMilliseconds(*tableAge()) : -1));
     }
-    auto answer = plainAnswer(refusal.status, refusal.reason);
-    if (refusal.retry_after > Duration::zero()) {
-        answer.headers.set("Retry-After", entry::secondsText(refusal.retry_after));
+    auto answer = plainAnswer(rejection.status, rejection.reason);
+    if (rejection.retry_after > Duration::zero()) {
+        answer.headers.set("Retry-After", entry::secondsText(rejection.retry_after));
     }
     reply(std::move(answer));
     signal_call_ended_.emit(
-        {entry::EntryEnd::kRefused, route, "none", refusal.reason, Duration::zero(), refusal.status});
+        {entry::EntryEnd::kRefused, route, "none", rejection.reason, Duration::zero(), rejection.status});
 }
 
 void SidecarNode::beginCall(CallNumber number, HttpRequest request, const entry::Admitted& admitted,
@@ -218,7 +218,7 @@
     if (is_admitted) {
         started.start();
     } else {
-        started.refuse("bottleneck");
+        started.reject("bottleneck");
     }
 }
 
@@ -234,7 +234,7 @@
     request.headers.remove(names.expected_instance);
     request.headers.set(names.caller_service, settings_.service);
     if (!settings_.knobs.weakening.hands_on_keys) {
-        entry::applyAccess(table_, names, tenant, &request.headers);
+        entry::replaceKeyWithTenant(table_, names, tenant, &request.headers);
     }
     entry::EntryPlan plan;
     plan.route = route;
@@ -293,7 +293,7 @@
     bottlenecks_.onReport(ports_.clock.now(), plan.route->name(), plan.service, relay, report);
 }
 
-void SidecarNode::onNodeSilent(const std::string& name) {
+void SidecarNode::onNodeUnresponsive(const std::string& name) {
     ports_.log.write(Event("node_silent").with("peer", name));
     std::vector<CallNumber> numbers;
     for (const auto& [number, call] : calls_) {
@@ -301,7 +301,7 @@
     }
     for (const auto number : numbers) {
         if (const auto found = calls_.find(number); found != calls_.end()) {
-            found->second->onNodeSilent(name);
+            found->second->onNodeUnresponsive(name);
         }
     }
 }
--- a/src/sidecar/sidecar_node.h
+++ b/src/sidecar/sidecar_node.h
@@ -114,7 +114,7 @@
     [[nodiscard]] static wire::NodeRecord firstRecord(const Settings& settings);
     void onIntake(CallNumber number, HttpRequest request, entry::CallIntake::Outcome outcome,
                   const ReplyCallback& reply);
-    void turnAway(const HttpRequest& request, const entry::TurnedAway& turned, const ReplyCallback& reply);
+    void turnAway(const HttpRequest& request, const entry::Rejected& turned, const ReplyCallback& reply);
     void beginCall(CallNumber number, HttpRequest request, const entry::Admitted& admitted, const ReplyCallback& reply);
     entry::EntryPlan plan(HttpRequest request, const entry::Admitted& admitted);
     std::string serviceFor(const wire::Route& route);
@@ -127,7 +127,7 @@
     void logRelayed(const std::string& request, const relay::RelayResult& result);
     void publishSelf();
     void setProbePath();
-    void onNodeSilent(const std::string& name);
+    void onNodeUnresponsive(const std::string& name);
     void onLedAway();
     void checkStopped();
 
