--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
-# make demo   starts a fleet on loopback and shows what it does
-# make test   runs every test
-# make soak   a minute of random faults, from a fresh seed (docs/SOAK.md)
+# make demo   runs a fleet on loopback under load and injected faults
+# make test   runs all tests
+# make soak   one minute of random faults with a random seed (docs/SOAK.md)
 BUILD ?= build
 
 .PHONY: all packages build demo test soak check format clean
--- a/apps/ctl/blocking_client.cc
+++ b/apps/ctl/blocking_client.cc
@@ -7,14 +7,16 @@
 namespace dewcrank::ctl {
 
 namespace {
-constexpr Duration kAnswerTimeout = 5s;
+constexpr Duration kResponseTimeout = 5s;
 constexpr const char* kMetricsPath = "/metrics";
 }  // namespace
 
-StoreAccess::StoreAccess(const TableStoreFactory& factory, std::string address)
-    : address_(std::move(address)), http_(loop_, adapters::HttpLimits{}), store_(factory(http_, address_)) {}
+BlockingClient::BlockingClient(const TableStoreFactory& factory, std::string address)
+    : store_address_(std::move(address)),
+      http_(loop_, adapters::HttpLimits{}),
+      store_(factory(http_, store_address_)) {}
 
-Result<StoredTable> StoreAccess::read() {
+Result<StoredTable> BlockingClient::readTable() {
     std::optional<StoredTable> stored;
     store_->read([&](std::optional<StoredTable> read) {
         stored = std::move(read);
@@ -22,12 +24,12 @@
     });
     loop_.run();
     if (!stored) {
-        return stepError("store.read", address_, "the store does not answer, or holds no table");
+        return stepError("store.read", store_address_, "the store does not answer, or holds no table");
     }
     return *stored;
 }
 
-TableWrite StoreAccess::write(const wire::RouteTable& table, std::uint64_t expected) {
+TableWrite BlockingClient::writeTable(const wire::RouteTable& table, std::uint64_t expected) {
     auto outcome = TableWrite::kUnknown;
     store_->write(table, expected, [&](TableWrite written) {
         outcome = written;
@@ -37,12 +39,12 @@
     return outcome;
 }
 
-Result<std::string> StoreAccess::readMetrics(const std::string& address) {
+Result<std::string> BlockingClient::readMetrics(const std::string& address) {
     AttemptResult response;
     HttpRequest request;
     request.method = "GET";
     request.path = kMetricsPath;
-    const auto attempt = http_.send(address, std::move(request), kAnswerTimeout, [&](AttemptResult result) {
+    const auto attempt = http_.send(address, std::move(request), kResponseTimeout, [&](AttemptResult result) {
         response = std::move(result);
         loop_.stop();
     });
@@ -53,7 +55,7 @@
     return std::move(response.response.body);
 }
 
-void StoreAccess::wait(Duration duration) {
+void BlockingClient::wait(Duration duration) {
     const auto timer = loop_.startTimer(duration, [this] { loop_.stop(); });
     loop_.run();
 }
--- a/apps/ctl/blocking_client.h
+++ b/apps/ctl/blocking_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// Blocking access to the table store, and to nodes, for the command line.
+/// Blocking client of the table store and of nodes, for the command line tool.
 #pragma once
 
 #include <functional>
@@ -13,24 +13,27 @@
 
 namespace dewcrank::ctl {
 
-/// Makes the store of a platform. @param http outlives it.
+/// Creates a client of the platform's store. @param http outlives the client. @param address "ip:port" of the store.
 using TableStoreFactory = std::function<std::unique_ptr<TableStore>(HttpTransport& http, const std::string& address)>;
 
-/// Runs the loop until each answer is there.
-class StoreAccess {
+/// Runs an event loop until each response has arrived or timed out.
+class BlockingClient {
 public:
-    StoreAccess(const TableStoreFactory& factory, std::string address);
-
-    Result<StoredTable> read();
-    TableWrite write(const wire::RouteTable& table, std::uint64_t expected);
-    /// The metrics page of a node. @param address "ip:port".
+    /// @param address "ip:port" of the store.
+    BlockingClient(const TableStoreFactory& factory, std::string address);
+
+    /// Reads the route table from the store.
+    Result<StoredTable> readTable();
+    /// Replaces the route table in the store if its revision is `expected`.
+    TableWrite writeTable(const wire::RouteTable& table, std::uint64_t expected);
+    /// Reads the metrics page of a node. @param address "ip:port".
     Result<std::string> readMetrics(const std::string& address);
-    /// Lets time pass.
+    /// Runs the event loop for `duration`.
     void wait(Duration duration);
     [[nodiscard]] TimePoint now() const { return loop_.now(); }
 
 private:
-    std::string address_;
+    std::string store_address_;
     adapters::EventLoop loop_;
     adapters::HttpClient http_;
     std::unique_ptr<TableStore> store_;
--- a/apps/ctl/commands.cc
+++ b/apps/ctl/commands.cc
@@ -10,23 +10,22 @@
 
 namespace {
 
-constexpr Duration kForcePoll = 100ms;
-/// Tries to find out what became of a write whose answer was lost.
-constexpr int kReadBackTries = 10;
-constexpr Duration kReadBackPause = 300ms;
+constexpr Duration kVersionPollInterval = 100ms;
+constexpr int kConfirmAttempts = 10;  ///< Reads that check whether a write without a response succeeded.
+constexpr Duration kConfirmInterval = 300ms;
 
 using Edit = std::function<Result<void>(wire::RouteTable*)>;
 
-/// Runs a body that gives a Result. @return false, with the error printed, if it failed.
+/// Runs `body`, which returns a Result, and prints its error. @return true if `body` succeeded.
 template <typename Body>
 bool succeeds(Body&& body) {
     return runOrReport(std::forward<Body>(body), [](const StepError& error) { std::cerr << error.text() << '\n'; });
 }
 
-// In force -----------------------------------------------------------------------
+// Table version of nodes ---------------------------------------------------------
 
-/// The value of a metric without labels; nothing if the page does not have it.
-std::optional<std::uint64_t> metricIn(const std::string& page, const std::string& name) {
+/// @return the value of a metric without labels; nothing if the metrics page does not have it.
+std::optional<std::uint64_t> findMetric(const std::string& page, const std::string& name) {
     std::istringstream lines(page);
     std::string line;
     while (std::getline(lines, line)) {
@@ -37,25 +36,26 @@
     return std::nullopt;
 }
 
-/// The version of the table that is in force at a node.
-Result<std::uint64_t> versionAt(StoreAccess& store, const std::string& node) {
-    BOOST_LEAF_AUTO(page, store.readMetrics(node));
-    const auto version = metricIn(page, "dewcrank_table_version");
+/// Reads the version of the table that a node applies. @param node metrics address, "ip:port".
+Result<std::uint64_t> readTableVersion(BlockingClient& client, const std::string& node) {
+    BOOST_LEAF_AUTO(page, client.readMetrics(node));
+    const auto version = findMetric(page, "dewcrank_table_version");
     if (!version) {
-        return stepError("node.metrics", node, "the page tells no version of the table");
+        return stepError("node.metrics", node, "the metrics page has no table version");
     }
     return *version;
 }
 
-int showStatus(StoreAccess& store, const Request& request) {
-    if (request.nodes.empty()) {
-        std::cerr << "status: --node IP:PORT of a node's metrics is expected, once for each node\n";
+/// Prints the table version of each node. @return kExitUnknown if one of them did not respond.
+int showStatus(BlockingClient& client, const CommandLine& command) {
+    if (command.nodes.empty()) {
+        std::cerr << "status: --node IP:PORT, the metrics address of a node, is expected, once for each node\n";
         return kExitBadInput;
     }
     int code = kExitOk;
-    for (const auto& node : request.nodes) {
+    for (const auto& node : command.nodes) {
         const bool is_read = succeeds([&]() -> Result<void> {
-            BOOST_LEAF_AUTO(version, versionAt(store, node));
+            BOOST_LEAF_AUTO(version, readTableVersion(client, node));
             std::cout << "node=" << node << " version=" << version << '\n';
             return {};
         });
@@ -64,76 +64,79 @@
     return code;
 }
 
-int waitInForce(StoreAccess& store, std::uint64_t version, const Request& request) {
-    const auto started = store.now();
-    std::set<std::string> behind(request.nodes.begin(), request.nodes.end());
-    while (!behind.empty() && store.now() - started < request.wait) {
-        std::erase_if(behind, [&](const std::string& node) {
-            std::uint64_t present = 0;
+/// Polls the nodes until all of them apply `version` or the wait time has passed; prints which do not.
+int waitUntilApplied(BlockingClient& client, std::uint64_t version, const CommandLine& command) {
+    const auto started = client.now();
+    std::set<std::string> pending(command.nodes.begin(), command.nodes.end());
+    while (!pending.empty() && client.now() - started < command.wait) {
+        std::erase_if(pending, [&](const std::string& node) {
+            std::uint64_t current = 0;
             runOrReport(
                 [&]() -> Result<void> {
-                    BOOST_LEAF_ASSIGN(present, versionAt(store, node));
+                    BOOST_LEAF_ASSIGN(current, readTableVersion(client, node));
                     return {};
                 },
-                [](const StepError&) {});  // Asked again until the time is up.
-            return present >= version;
+                [](const StepError&) {});  // The next poll retries.
+            return current >= version;
         });
-        if (!behind.empty()) {
-            store.wait(kForcePoll);
+        if (!pending.empty()) {
+            client.wait(kVersionPollInterval);
         }
     }
-    for (const auto& node : behind) {
+    for (const auto& node : pending) {
         std::cerr << "not in force: version=" << version << " node=" << node << '\n';
     }
-    if (behind.empty()) {
-        std::cout << "in force: version=" << version << " after_ms=" << toMilliseconds(store.now() - started) << '\n';
+    if (pending.empty()) {
+        std::cout << "in force: version=" << version << " after_ms=" << toMilliseconds(client.now() - started) << '\n';
     }
-    return behind.empty() ? kExitOk : kExitNotInForce;
+    return pending.empty() ? kExitOk : kExitNotApplied;
 }
 
 // Edits --------------------------------------------------------------------------
 
-/// The answer to a write was lost: reads until the store tells whether the table is the one written.
-TableWrite readBack(StoreAccess& store, const wire::RouteTable& written, std::uint64_t expected) {
-    for (int tries = 0; tries < kReadBackTries; ++tries) {
-        StoredTable present;
+/// After a write without a response: reads the table until it shows whether the write succeeded.
+TableWrite confirmWrite(BlockingClient& client, const wire::RouteTable& written, std::uint64_t expected) {
+    for (int attempt = 0; attempt < kConfirmAttempts; ++attempt) {
+        StoredTable current;
         const bool is_read = succeeds([&]() -> Result<void> {
-            BOOST_LEAF_ASSIGN(present, store.read());
+            BOOST_LEAF_ASSIGN(current, client.readTable());
             return {};
         });
-        if (is_read && policy::rowsOf(present.table) == policy::rowsOf(written)) {
+        if (is_read && policy::rowsOf(current.table) == policy::rowsOf(written)) {
             return TableWrite::kWritten;
         }
-        if (is_read && present.revision != expected) {
+        if (is_read && current.revision != expected) {
             return TableWrite::kConflict;
         }
-        store.wait(kReadBackPause);
+        client.wait(kConfirmInterval);
     }
     return TableWrite::kUnknown;
 }
 
-int reportWrite(TableWrite outcome) {
+/// Prints why a write failed, if it did. @return the exit code.
+int printWriteOutcome(TableWrite outcome) {
     switch (outcome) {
         case TableWrite::kWritten:
             return kExitOk;
         case TableWrite::kConflict:
-            std::cerr << "lost race: another edit was saved first; nothing was written; look, then edit again\n";
-            return kExitLostRace;
+            std::cerr
+                << "lost race: another edit was saved first; nothing was written; read the table, then edit it again\n";
+            return kExitConflict;
         case TableWrite::kRefused:
-            std::cerr << "refused: the store does not take this table\n";
+            std::cerr << "refused: the store rejected this table as invalid\n";
             return kExitFailed;
         case TableWrite::kUnknown:
             break;
     }
-    std::cerr << "unknown: the store has not answered; look at the table before trying again\n";
+    std::cerr << "unknown: the store did not respond; read the table before you retry\n";
     return kExitUnknown;
 }
 
-/// Reads the table, changes it, and saves it as the next version.
-int save(StoreAccess& store, const Edit& edit, const Request& request) {
+/// Reads the table, applies `edit`, checks the result and saves it as the next version.
+int editTable(BlockingClient& client, const Edit& edit, const CommandLine& command) {
     StoredTable stored;
     const bool is_read = succeeds([&]() -> Result<void> {
-        BOOST_LEAF_ASSIGN(stored, store.read());
+        BOOST_LEAF_ASSIGN(stored, client.readTable());
         return {};
     });
     if (!is_read) {
@@ -148,36 +151,36 @@
         return kExitBadInput;
     }
     changed.set_version(stored.table.version() + 1);
-    auto outcome = store.write(changed, stored.revision);
+    auto outcome = client.writeTable(changed, stored.revision);
     if (outcome == TableWrite::kUnknown) {
-        outcome = readBack(store, changed, stored.revision);
+        outcome = confirmWrite(client, changed, stored.revision);
     }
-    if (const int code = reportWrite(outcome); code != kExitOk) {
+    if (const int code = printWriteOutcome(outcome); code != kExitOk) {
         return code;
     }
     std::cout << "saved: version=" << changed.version() << '\n';
-    const bool waits = request.wait > Duration::zero() && !request.nodes.empty();
-    return waits ? waitInForce(store, changed.version(), request) : static_cast<int>(kExitOk);
+    const bool must_wait = command.wait > Duration::zero() && !command.nodes.empty();
+    return must_wait ? waitUntilApplied(client, changed.version(), command) : static_cast<int>(kExitOk);
 }
 
-int setCell(StoreAccess& store, const Request& request) {
-    const auto& cell = request.words[2];
-    const auto& value = request.words[3];
+int setCell(BlockingClient& client, const CommandLine& command) {
+    const auto& cell = command.args[2];
+    const auto& value = command.args[3];
     const auto dot = cell.rfind('.');
     if (dot == std::string::npos) {
         std::cerr << "table.set: " << cell << ": ROW.COLUMN is expected, such as route/browse.priority\n";
         return kExitBadInput;
     }
-    return save(
-        store,
+    return editTable(
+        client,
         [&](wire::RouteTable* table) {
             return policy::setCell(table, cell.substr(0, dot), cell.substr(dot + 1), value);
         },
-        request);
+        command);
 }
 
-int importRows(StoreAccess& store, const Request& request) {
-    const auto& file = request.words[2];
+int importRows(BlockingClient& client, const CommandLine& command) {
+    const auto& file = command.args[2];
     std::ifstream stream(file);
     if (!stream) {
         std::cerr << "table.import: " << file << ": cannot be read\n";
@@ -193,21 +196,21 @@
     if (!is_read) {
         return kExitBadInput;
     }
-    return save(
-        store,
+    return editTable(
+        client,
         [&](wire::RouteTable* table) -> Result<void> {
             for (const auto& [row, cells] : rows) {
                 BOOST_LEAF_CHECK(policy::putRow(table, row, cells));
             }
             return {};
         },
-        request);
+        command);
 }
 
-int showTable(StoreAccess& store, Output output) {
+int showTable(BlockingClient& client, OutputFormat output) {
     StoredTable stored;
     const bool is_read = succeeds([&]() -> Result<void> {
-        BOOST_LEAF_ASSIGN(stored, store.read());
+        BOOST_LEAF_ASSIGN(stored, client.readTable());
         return {};
     });
     if (!is_read) {
@@ -219,29 +222,29 @@
 
 }  // namespace
 
-int runCommand(StoreAccess& store, const Request& request) {
-    const auto& words = request.words;
-    const auto is = [&words](std::size_t count, const std::string& first, const std::string& second = "") {
-        return words.size() == count && words[0] == first && (second.empty() || words[1] == second);
+int runCommand(BlockingClient& client, const CommandLine& command) {
+    const auto& args = command.args;
+    const auto matches = [&args](std::size_t count, const std::string& first, const std::string& second = "") {
+        return args.size() == count && args[0] == first && (second.empty() || args[1] == second);
     };
-    if (is(2, "table", "show")) {
-        return showTable(store, request.output);
+    if (matches(2, "table", "show")) {
+        return showTable(client, command.output);
     }
-    if (is(2, "table", "export")) {
-        return showTable(store, request.output == Output::kText ? Output::kCsv : request.output);
+    if (matches(2, "table", "export")) {
+        return showTable(client, command.output == OutputFormat::kText ? OutputFormat::kCsv : command.output);
     }
-    if (is(4, "table", "set")) {
-        return setCell(store, request);
+    if (matches(4, "table", "set")) {
+        return setCell(client, command);
     }
-    if (is(3, "table", "import")) {
-        return importRows(store, request);
+    if (matches(3, "table", "import")) {
+        return importRows(client, command);
     }
-    if (is(3, "table", "remove")) {
-        return save(
-            store, [&](wire::RouteTable* table) { return policy::removeRow(table, words[2]); }, request);
+    if (matches(3, "table", "remove")) {
+        return editTable(
+            client, [&](wire::RouteTable* table) { return policy::removeRow(table, args[2]); }, command);
     }
-    if (is(1, "status")) {
-        return showStatus(store, request);
+    if (matches(1, "status")) {
+        return showStatus(client, command);
     }
     std::cerr << "commands: table show | table export | table set ROW.COLUMN VALUE | table import FILE | "
                  "table remove ROW | table columns | status | explain ID FILE...\n";
--- a/apps/ctl/commands.h
+++ b/apps/ctl/commands.h
@@ -1,5 +1,5 @@
 /// @file
-/// The commands of the operators' tool.
+/// Commands of the operators' tool that use the store or the nodes.
 #pragma once
 
 #include <string>
@@ -15,20 +15,21 @@
     kExitOk = 0,
     kExitFailed = 1,
     kExitBadInput = 2,
-    kExitLostRace = 3,
-    kExitUnknown = 4,     ///< The store, or the node, does not answer: nothing is known.
-    kExitNotInForce = 5,  ///< Saved, but not in force everywhere in time.
+    kExitConflict = 3,    ///< Another edit was saved first; nothing was written.
+    kExitUnknown = 4,     ///< The store or a node did not respond; the outcome of a write may be unknown.
+    kExitNotApplied = 5,  ///< The edit is saved, but some nodes did not apply it in time.
 };
 
-/// What was asked for.
-struct Request {
-    std::vector<std::string> words;  ///< The command and its arguments.
-    Output output = Output::kText;
-    std::vector<std::string> nodes;  ///< "ip:port" of the metrics of nodes that are asked what is in force.
-    Duration wait{};                 ///< How long to wait until an edit is in force at all of them.
+/// Parsed command line.
+struct CommandLine {
+    std::vector<std::string> args;  ///< Command name and its arguments.
+    OutputFormat output = OutputFormat::kText;
+    std::vector<std::string> nodes;  ///< Metrics addresses, "ip:port", of the nodes whose table version is polled.
+    Duration wait{};                 ///< How long to wait until all `nodes` apply an edit; zero: don't wait.
 };
 
-/// Runs one command; what people read goes to standard output, errors to standard error.
-int runCommand(StoreAccess& store, const Request& request);
+/// Runs one command. Prints results to standard output and errors to standard error.
+/// @return an ExitCode.
+int runCommand(BlockingClient& client, const CommandLine& command);
 
 }  // namespace dewcrank::ctl
--- a/apps/ctl/crash_report.cc
+++ b/apps/ctl/crash_report.cc
@@ -13,29 +13,30 @@
 void CrashReport::read(std::istream& log) {
     std::string line;
     while (std::getline(log, line)) {
-        const auto fingerprint = valueOf(line, "fingerprint");
-        const bool is_run_lost = valueOf(line, "event") == "instance_failed" && valueOf(line, "sent") == "yes";
-        if (!is_run_lost || fingerprint.empty()) {
+        const auto fingerprint = fieldValue(line, "fingerprint");
+        const bool is_request_lost =
+            fieldValue(line, "event") == "instance_failed" && fieldValue(line, "sent") == "yes";
+        if (!is_request_lost || fingerprint.empty()) {
             continue;
         }
-        const auto instance = valueOf(line, "instance");
-        const auto at = secondsOf(valueOf(line, "time"));
-        ++runs_[instance];
+        const auto instance = fieldValue(line, "instance");
+        const auto time_s = secondsOfDay(fieldValue(line, "time"));
+        ++lost_requests_[instance];
         auto& it = by_fingerprint_[fingerprint];
         if (it.instances.empty()) {
             it.fingerprint = fingerprint;
-            it.route = valueOf(line, "route");
-            it.first = at;
-            it.last = at;
+            it.route = fieldValue(line, "route");
+            it.first_s = time_s;
+            it.last_s = time_s;
         }
         it.instances.insert(instance);
-        it.first = std::min(it.first, at);
-        it.last = std::max(it.last, at);
+        it.first_s = std::min(it.first_s, time_s);
+        it.last_s = std::max(it.last_s, time_s);
     }
 }
 
-std::vector<RepeatedCrash> CrashReport::repeated() const {
-    std::vector<RepeatedCrash> found;
+std::vector<SuspectRequest> CrashReport::suspects() const {
+    std::vector<SuspectRequest> found;
     for (const auto& [fingerprint, it] : by_fingerprint_) {
         if (it.instances.size() > 1) {
             found.push_back(it);
@@ -56,16 +57,16 @@
         }
         report.read(log);
     }
-    if (report.runs().empty()) {
-        std::cerr << "crashes: no line of these files tells of an instance that failed\n";
+    if (report.lostRequests().empty()) {
+        std::cerr << "crashes: no line of these files reports a request that failed at an instance\n";
         return kExitBadInput;
     }
-    for (const auto& [instance, runs] : report.runs()) {
-        std::printf("instance=%s runs=%zu\n", instance.c_str(), runs);
+    for (const auto& [instance, count] : report.lostRequests()) {
+        std::printf("instance=%s runs=%zu\n", instance.c_str(), count);
     }
-    for (const auto& it : report.repeated()) {
+    for (const auto& it : report.suspects()) {
         std::printf("fingerprint=%s route=%s instances=%zu from_s=%.3f to_s=%.3f\n", it.fingerprint.c_str(),
-                    it.route.c_str(), it.instances.size(), it.first, it.last);
+                    it.route.c_str(), it.instances.size(), it.first_s, it.last_s);
     }
     return kExitOk;
 }
--- a/apps/ctl/crash_report.h
+++ b/apps/ctl/crash_report.h
@@ -1,5 +1,5 @@
 /// @file
-/// `dewcrank crashes`: which requests ran when instances ended, from the logs of all nodes.
+/// `dewcrank crashes`: requests that were running when instances crashed, from the logs of all nodes.
 #pragma once
 
 #include <istream>
@@ -10,31 +10,31 @@
 
 namespace dewcrank::ctl {
 
-/// A request that was running at several instances when these ended, over all of its tries.
-struct RepeatedCrash {
+/// A request, including its retries, that was running at several instances when they crashed.
+struct SuspectRequest {
     std::string fingerprint;
     std::string route;
-    std::set<std::string> instances;
-    double first = 0;  ///< Second of the day.
-    double last = 0;
+    std::set<std::string> instances;  ///< Ids of the crashed instances.
+    double first_s = 0;               ///< Time of the first crash, in seconds since midnight.
+    double last_s = 0;                ///< Time of the last crash, in seconds since midnight.
 };
 
-/// Collects the lines on instances that failed while they had a request.
+/// Collects the `instance_failed` events of requests that were sent to an instance.
 class CrashReport {
 public:
+    /// Adds the events of one log file.
     void read(std::istream& log);
-    /// Runs that each instance ended with, by its id.
-    [[nodiscard]] const std::map<std::string, std::size_t>& runs() const { return runs_; }
-    /// Requests that two instances or more ended with; those of most instances first.
-    [[nodiscard]] std::vector<RepeatedCrash> repeated() const;
+    /// @return the number of requests that each instance lost, by instance id.
+    [[nodiscard]] const std::map<std::string, std::size_t>& lostRequests() const { return lost_requests_; }
+    /// @return requests that were lost at two instances or more, ordered by descending number of instances.
+    [[nodiscard]] std::vector<SuspectRequest> suspects() const;
 
 private:
-    std::map<std::string, std::size_t> runs_;
-    std::map<std::string, RepeatedCrash> by_fingerprint_;
+    std::map<std::string, std::size_t> lost_requests_;
+    std::map<std::string, SuspectRequest> by_fingerprint_;
 };
 
-/// Prints the report. @return kExitOk, or kExitBadInput if a file cannot be read or none has a line on an
-/// instance that failed.
+/// Prints the report. @return kExitOk, or kExitBadInput if a file cannot be read or no file has such an event.
 int reportCrashes(const std::vector<std::string>& files);
 
 }  // namespace dewcrank::ctl
--- a/apps/ctl/explain.cc
+++ b/apps/ctl/explain.cc
@@ -12,63 +12,66 @@
 
 namespace {
 
-constexpr double kAroundSeconds = 2;
-const std::set<std::string> kBeliefEvents = {
+/// State changes are listed up to this time from an event of the request.
+constexpr double kContextSeconds = 2;
+/// Events that change which table, nodes and instances a node uses, or report faults of these.
+const std::set<std::string> kStateChanges = {
     "table_adopted", "instance_changed", "node_started",    "node_stopping", "node_stopped",
     "store_failed",  "settings_read",    "relay_failed",    "node_silent",   "load",
     "nodes_listed",  "events_left_out",  "settings_refused"};
 
 }  // namespace
 
-void Explanation::read(const std::string& source, std::istream& log) {
+void RequestTrace::read(const std::string& source, std::istream& log) {
     std::string line;
     while (std::getline(log, line)) {
-        const auto at = line.find("event=");
-        if (at == std::string::npos) {
+        const auto begin = line.find("event=");
+        if (begin == std::string::npos) {
             continue;
         }
-        ExplainedLine found{valueOf(line, "time"), source, line.substr(at), false};
-        if (valueOf(found.text, "request") == request_) {
-            found.is_own = true;
-            own_.push_back(found);
-        } else if (kBeliefEvents.contains(valueOf(found.text, "event"))) {
-            beliefs_.push_back(found);
+        TraceLine found{fieldValue(line, "time"), source, line.substr(begin), false};
+        if (fieldValue(found.text, "request") == request_) {
+            found.names_request = true;
+            request_lines_.push_back(found);
+        } else if (kStateChanges.contains(fieldValue(found.text, "event"))) {
+            state_changes_.push_back(found);
         }
     }
 }
 
-std::vector<ExplainedLine> Explanation::lines() const {
-    std::vector<ExplainedLine> result = own_;
-    for (const auto& belief : beliefs_) {
-        const bool is_near = std::any_of(own_.begin(), own_.end(), [&belief](const ExplainedLine& own) {
-            return std::abs(secondsOf(own.time) - secondsOf(belief.time)) <= kAroundSeconds;
-        });
-        if (is_near) {
-            result.push_back(belief);
+std::vector<TraceLine> RequestTrace::lines() const {
+    std::vector<TraceLine> result = request_lines_;
+    for (const auto& event : state_changes_) {
+        const bool is_in_context =
+            std::any_of(request_lines_.begin(), request_lines_.end(), [&event](const TraceLine& line) {
+                return std::abs(secondsOfDay(line.time) - secondsOfDay(event.time)) <= kContextSeconds;
+            });
+        if (is_in_context) {
+            result.push_back(event);
         }
     }
     std::stable_sort(result.begin(), result.end(),
-                     [](const ExplainedLine& left, const ExplainedLine& right) { return left.time < right.time; });
+                     [](const TraceLine& left, const TraceLine& right) { return left.time < right.time; });
     return result;
 }
 
 int explain(const std::string& request, const std::vector<std::string>& files) {
-    Explanation explanation(request);
+    RequestTrace trace(request);
     for (const auto& file : files) {
         std::ifstream log(file);
         if (!log) {
             std::cerr << "explain: " << file << ": cannot be read\n";
             return kExitBadInput;
         }
-        explanation.read(file, log);
+        trace.read(file, log);
     }
-    const auto lines = explanation.lines();
+    const auto lines = trace.lines();
     if (lines.empty()) {
         std::cerr << "explain: " << request << ": no line of these files names this request\n";
         return kExitBadInput;
     }
     for (const auto& line : lines) {
-        std::cout << (line.is_own ? "> " : "  ") << line.time << ' ' << line.source << ' ' << line.text << '\n';
+        std::cout << (line.names_request ? "> " : "  ") << line.time << ' ' << line.source << ' ' << line.text << '\n';
     }
     return kExitOk;
 }
--- a/apps/ctl/explain.h
+++ b/apps/ctl/explain.h
@@ -1,5 +1,5 @@
 /// @file
-/// `dewcrank explain`: a request's way through the logs of all nodes.
+/// `dewcrank explain`: the path of one request, from the logs of all nodes.
 #pragma once
 
 #include <istream>
@@ -8,29 +8,32 @@
 
 namespace dewcrank::ctl {
 
-/// One line of a log that matters for a request.
-struct ExplainedLine {
-    std::string time;     ///< As logged; sorts as text.
-    std::string source;   ///< The file that it stands in.
-    std::string text;     ///< From "event=" on.
-    bool is_own = false;  ///< Names the request; else a change of belief around it.
+/// A log line that concerns a request.
+struct TraceLine {
+    std::string time;    ///< As logged; the text sorts in order of time.
+    std::string source;  ///< Log file of the line.
+    std::string text;    ///< The line from "event=" on.
+    bool names_request =
+        false;  ///< The event is one of the request; otherwise a state change of a node near it in time.
 };
 
-/// Collects, from logs, the lines of one request and the changes of belief near them.
-class Explanation {
+/// Collects the events of one request, and the state changes of nodes near them in time.
+class RequestTrace {
 public:
-    explicit Explanation(std::string request) : request_(std::move(request)) {}
+    /// @param request id of the request.
+    explicit RequestTrace(std::string request) : request_(std::move(request)) {}
+    /// Adds the events of one log. @param source name of the log in the trace lines.
     void read(const std::string& source, std::istream& log);
-    /// In order of time. Changes of belief are kept up to two seconds around the request.
-    [[nodiscard]] std::vector<ExplainedLine> lines() const;
+    /// @return events of the request, and state changes within two seconds of one of them, ordered by time.
+    [[nodiscard]] std::vector<TraceLine> lines() const;
 
 private:
     std::string request_;
-    std::vector<ExplainedLine> own_;
-    std::vector<ExplainedLine> beliefs_;
+    std::vector<TraceLine> request_lines_;
+    std::vector<TraceLine> state_changes_;
 };
 
-/// Prints the explanation. @return kExitOk, or kExitBadInput if a file cannot be read or no line
+/// Prints the trace of a request. @return kExitOk, or kExitBadInput if a file cannot be read or no line
 /// names the request.
 int explain(const std::string& request, const std::vector<std::string>& files);
 
--- a/apps/ctl/log_line.cc
+++ b/apps/ctl/log_line.cc
@@ -6,20 +6,20 @@
 
 namespace dewcrank::ctl {
 
-std::string valueOf(const std::string& line, const std::string& key) {
-    const auto at = (" " + line).find(" " + key + "=");
-    if (at == std::string::npos) {
+std::string fieldValue(const std::string& line, const std::string& key) {
+    const auto key_begin = (" " + line).find(" " + key + "=");
+    if (key_begin == std::string::npos) {
         return "";
     }
-    const auto begin = at + key.size() + 1;
+    const auto begin = key_begin + key.size() + 1;
     return line.substr(begin, line.find(' ', begin) - begin);
 }
 
-double numberOf(const std::string& line, const std::string& key) {
-    return std::strtod(valueOf(line, key).c_str(), nullptr);
+double fieldNumber(const std::string& line, const std::string& key) {
+    return std::strtod(fieldValue(line, key).c_str(), nullptr);
 }
 
-double secondsOf(const std::string& time) {
+double secondsOfDay(const std::string& time) {
     int hours = 0;
     int minutes = 0;
     double seconds = 0;
--- a/apps/ctl/log_line.h
+++ b/apps/ctl/log_line.h
@@ -1,16 +1,16 @@
 /// @file
-/// Reads the lines that nodes log: key=value pairs.
+/// Parser for the log lines of nodes, which consist of key=value pairs separated by blanks.
 #pragma once
 
 #include <string>
 
 namespace dewcrank::ctl {
 
-/// The value of a key in a line of key=value pairs; empty if it is not there.
-std::string valueOf(const std::string& line, const std::string& key);
-/// The same as a number; 0 if it is none.
-double numberOf(const std::string& line, const std::string& key);
-/// Seconds of the day of a time such as 2026-01-31T12:00:05.250.
-double secondsOf(const std::string& time);
+/// @return the value of a key in a log line; empty if the line does not have the key.
+std::string fieldValue(const std::string& line, const std::string& key);
+/// @return the value of a key as a number; 0 if the key is missing or its value is not a number.
+double fieldNumber(const std::string& line, const std::string& key);
+/// @return seconds since midnight of a timestamp such as 2026-01-31T12:00:05.250.
+double secondsOfDay(const std::string& time);
 
 }  // namespace dewcrank::ctl
--- a/apps/ctl/retry_report.cc
+++ b/apps/ctl/retry_report.cc
@@ -11,68 +11,69 @@
 
 namespace {
 
-void add(RepeatCounts* sum, const RepeatCounts& counts) {
+void add(RetryCounts* sum, const RetryCounts& counts) {
     sum->requests += counts.requests;
-    sum->repeats += counts.repeats;
+    sum->retries += counts.retries;
     sum->denied += counts.denied;
 }
 
-double spentShare(const RepeatWindowReport& it) {
-    return it.allowed > 0 ? it.fleet.repeats / it.allowed : 0;
+/// @return the part of the allowed retries that was used; above 1 if the budget was exceeded.
+double usageRatio(const RetryWindowReport& it) {
+    return it.allowed > 0 ? it.total.retries / it.allowed : 0;
 }
 
 }  // namespace
 
-void RepeatReport::read(const std::string& source, std::istream& log) {
+void RetryReport::read(const std::string& source, std::istream& log) {
     std::string line;
     while (std::getline(log, line)) {
-        if (valueOf(line, "event") != "repeats") {
+        if (fieldValue(line, "event") != "repeats") {
             continue;
         }
-        auto& service = services_[valueOf(line, "service")];
-        service.ratio = numberOf(line, "ratio");
-        service.slack = numberOf(line, "slack");
-        service.window = numberOf(line, "window_s");
-        const double inherited = numberOf(line, "inherited");
-        const RepeatCounts counts{numberOf(line, "requests") + inherited, numberOf(line, "granted") + inherited,
-                                  numberOf(line, "denied")};
-        service.lines.push_back({source, secondsOf(valueOf(line, "time")), counts});
+        auto& service = services_[fieldValue(line, "service")];
+        service.ratio = fieldNumber(line, "ratio");
+        service.slack = fieldNumber(line, "slack");
+        service.window_s = fieldNumber(line, "window_s");
+        const double inherited = fieldNumber(line, "inherited");
+        const RetryCounts counts{fieldNumber(line, "requests") + inherited, fieldNumber(line, "granted") + inherited,
+                                 fieldNumber(line, "denied")};
+        service.samples.push_back({source, secondsOfDay(fieldValue(line, "time")), counts});
     }
 }
 
-RepeatWindowReport RepeatReport::windowFrom(const Service& service, double begin) {
-    RepeatWindowReport report;
-    report.begin = begin;
-    for (const auto& line : service.lines) {
-        if (line.at >= begin && line.at < begin + service.window) {
-            add(&report.fleet, line.counts);
-            add(&report.by_node[line.node], line.counts);
+RetryWindowReport RetryReport::windowAt(const ServiceSamples& service, double begin_s) {
+    RetryWindowReport report;
+    report.begin_s = begin_s;
+    for (const auto& sample : service.samples) {
+        if (sample.time_s >= begin_s && sample.time_s < begin_s + service.window_s) {
+            add(&report.total, sample.counts);
+            add(&report.by_node[sample.node], sample.counts);
         }
     }
-    report.allowed = service.ratio * report.fleet.requests + service.slack;
+    report.allowed = service.ratio * report.total.requests + service.slack;
     return report;
 }
 
-std::vector<RepeatWindowReport> RepeatReport::worstWindows() const {
-    std::vector<RepeatWindowReport> reports;
+std::vector<RetryWindowReport> RetryReport::worstWindows() const {
+    std::vector<RetryWindowReport> reports;
     for (const auto& [name, service] : services_) {
-        RepeatWindowReport worst;
-        for (const auto& line : service.lines) {
-            auto report = windowFrom(service, line.at);
-            if (spentShare(report) > spentShare(worst)) {
+        RetryWindowReport worst;
+        for (const auto& sample : service.samples) {
+            auto report = windowAt(service, sample.time_s);
+            if (usageRatio(report) > usageRatio(worst)) {
                 worst = std::move(report);
             }
         }
         worst.service = name;
-        if (worst.fleet.repeats > 0) {
+        if (worst.total.retries > 0) {
             reports.push_back(std::move(worst));
         }
     }
     return reports;
 }
 
-int reportRepeats(const std::vector<std::string>& files) {
-    RepeatReport report;
+int reportRetries(const std::vector<std::string>& files) {
+    RetryReport report;
     for (const auto& file : files) {
         std::ifstream log(file);
         if (!log) {
@@ -83,14 +84,14 @@
     }
     const auto windows = report.worstWindows();
     if (windows.empty()) {
-        std::cerr << "repeats: no line of these files tells of repeats\n";
+        std::cerr << "repeats: no line of these files reports retries\n";
         return kExitBadInput;
     }
     for (const auto& it : windows) {
         std::printf("service=%s from_s=%.1f repeats=%.1f allowed=%.1f requests=%.0f denied=%.0f\n", it.service.c_str(),
-                    it.begin, it.fleet.repeats, it.allowed, it.fleet.requests, it.fleet.denied);
+                    it.begin_s, it.total.retries, it.allowed, it.total.requests, it.total.denied);
         for (const auto& [node, counts] : it.by_node) {
-            std::printf("  %s repeats=%.1f requests=%.0f denied=%.0f\n", node.c_str(), counts.repeats, counts.requests,
+            std::printf("  %s repeats=%.1f requests=%.0f denied=%.0f\n", node.c_str(), counts.retries, counts.requests,
                         counts.denied);
         }
     }
--- a/apps/ctl/retry_report.h
+++ b/apps/ctl/retry_report.h
@@ -1,6 +1,5 @@
 /// @file
-/// `dewcrank repeats`: what the relays of a service have spent of its repeat budget, summed from the
-/// logs of all nodes.
+/// `dewcrank repeats`: how much of each service's retry budget the relays used, summed over the logs of all nodes.
 #pragma once
 
 #include <istream>
@@ -10,48 +9,50 @@
 
 namespace dewcrank::ctl {
 
-/// What was counted in some time, by one node or by several.
-struct RepeatCounts {
-    double requests = 0;  ///< Calls of repeated runs included.
-    double repeats = 0;   ///< Granted ones, and calls of repeated runs.
-    double denied = 0;
+/// Counts of one node or of several, over some time.
+struct RetryCounts {
+    double requests = 0;  ///< First attempts, calls of retried requests included.
+    double retries = 0;   ///< Admitted retries, and calls of retried requests, which count as retries.
+    double denied = 0;    ///< Retries that the budget did not admit.
 };
 
-/// The window of a service in which the largest part of what is allowed was spent.
-struct RepeatWindowReport {
+/// The window in which a service used the largest part of its retry budget.
+struct RetryWindowReport {
     std::string service;
-    double begin = 0;  ///< Second of the day.
-    RepeatCounts fleet;
-    double allowed = 0;  ///< By the requests of this window alone.
-    std::map<std::string, RepeatCounts> by_node;
+    double begin_s = 0;                          ///< Start of the window, in seconds since midnight.
+    RetryCounts total;                           ///< Sum over all nodes.
+    double allowed = 0;                          ///< Retries that the requests of this window allow.
+    std::map<std::string, RetryCounts> by_node;  ///< By log file.
 };
 
-/// Collects the lines on repeats. Each covers the second before it.
-class RepeatReport {
+/// Collects the `repeats` events. Each event counts the second before it.
+class RetryReport {
 public:
+    /// Adds the events of one log. @param source name of the node in the report.
     void read(const std::string& source, std::istream& log);
-    /// One for each service that has spent any, by name.
-    [[nodiscard]] std::vector<RepeatWindowReport> worstWindows() const;
+    /// @return the window of highest budget usage of each service that had retries, ordered by service.
+    [[nodiscard]] std::vector<RetryWindowReport> worstWindows() const;
 
 private:
-    struct Line {
+    struct Sample {
         std::string node;
-        double at = 0;  ///< Second of the day.
-        RepeatCounts counts;
+        double time_s = 0;  ///< Seconds since midnight.
+        RetryCounts counts;
     };
-    struct Service {
-        double ratio = 0;
-        double slack = 0;
-        double window = 0;  ///< Seconds.
-        std::vector<Line> lines;
+    struct ServiceSamples {
+        double ratio = 0;     ///< Allowed retries per request.
+        double slack = 0;     ///< Allowed retries per window in addition to the ratio.
+        double window_s = 0;  ///< Length of the window.
+        std::vector<Sample> samples;
     };
-    [[nodiscard]] static RepeatWindowReport windowFrom(const Service& service, double begin);
+    /// Sums the samples in the window that starts at `begin_s`.
+    [[nodiscard]] static RetryWindowReport windowAt(const ServiceSamples& service, double begin_s);
 
-    std::map<std::string, Service> services_;
+    std::map<std::string, ServiceSamples> services_;
 };
 
-/// Prints the report, a line for the fleet and one for each node. @return kExitOk, or kExitBadInput if a
-/// file cannot be read or none has a line on repeats.
-int reportRepeats(const std::vector<std::string>& files);
+/// Prints a line for each service and one for each of its nodes. @return kExitOk, or kExitBadInput if a file
+/// cannot be read or no file has a retry.
+int reportRetries(const std::vector<std::string>& files);
 
 }  // namespace dewcrank::ctl
--- a/apps/ctl/run.cc
+++ b/apps/ctl/run.cc
@@ -14,100 +14,104 @@
 
 namespace {
 
-/// `explain`, a request's id and a file.
-constexpr std::size_t kLeastExplainWords = 3;
+/// `explain`, the id of a request and one log file.
+constexpr std::size_t kMinExplainArgs = 3;
 
 cxxopts::Options makeOptions() {
-    cxxopts::Options options("dewcrank", "Edits the table, shows what is in force, explains requests and crashes.");
+    cxxopts::Options options(
+        "dewcrank",
+        "Edits the route table, shows which version nodes apply, and reports requests, retries and crashes from logs.");
     options.positional_help("COMMAND ...");
     auto add = options.add_options();
     add("store", "IP:PORT of the platform's store", cxxopts::value<std::string>()->default_value(""));
-    add("node", "IP:PORT of the metrics of a node, to ask what is in force; once for each node",
+    add("node", "IP:PORT of the metrics of a node, to read its table version; once for each node",
         cxxopts::value<std::vector<std::string>>());
     add("output", "text, json or csv", cxxopts::value<std::string>()->default_value("text"));
-    add("wait", "seconds to wait until an edit is in force at all nodes given",
-        cxxopts::value<double>()->default_value("0"));
+    add("wait", "seconds to wait until all given nodes apply an edit", cxxopts::value<double>()->default_value("0"));
     add("help", "print this help");
     add("words", "command and arguments", cxxopts::value<std::vector<std::string>>());
     options.parse_positional({"words"});
     return options;
 }
 
-/// @return false, with the fault printed, if a flag holds no address.
-bool isAddress(const char* flag, const std::string& text) {
+/// Prints an error if `text`, the value of `flag`, is not an address. @return true if it is one.
+bool checkAddress(const char* flag, const std::string& text) {
     if (adapters::parseSocketAddress(text)) {
         return true;
     }
-    std::cerr << "flags: " << flag << ": got '" << text << "', IP:PORT with an IP number is expected\n";
+    std::cerr << "flags: " << flag << ": got '" << text << "', IP:PORT with a numeric IP address is expected\n";
     return false;
 }
 
-int runWithStore(const cxxopts::ParseResult& given, Request request, const TableStoreFactory& factory) {
-    const auto store = given["store"].as<std::string>();
-    if (given.count("node") > 0) {
-        request.nodes = given["node"].as<std::vector<std::string>>();
+/// Runs a command that uses the store or nodes.
+int runStoreCommand(const cxxopts::ParseResult& parsed, CommandLine command, const TableStoreFactory& factory) {
+    const auto store_address = parsed["store"].as<std::string>();
+    if (parsed.count("node") > 0) {
+        command.nodes = parsed["node"].as<std::vector<std::string>>();
     }
-    const bool needs_store = request.words.empty() || request.words[0] != "status";
-    const bool are_addresses = std::all_of(request.nodes.begin(), request.nodes.end(),
-                                           [](const std::string& node) { return isAddress("--node", node); });
-    if ((needs_store && !isAddress("--store", store)) || !are_addresses) {
+    const bool needs_store = command.args.empty() || command.args[0] != "status";
+    const bool are_addresses = std::all_of(command.nodes.begin(), command.nodes.end(),
+                                           [](const std::string& node) { return checkAddress("--node", node); });
+    if ((needs_store && !checkAddress("--store", store_address)) || !are_addresses) {
         return kExitBadInput;
     }
-    StoreAccess access(factory, store);
-    return runCommand(access, request);
+    BlockingClient client(factory, store_address);
+    return runCommand(client, command);
 }
 
-/// A command that reads log files, and nothing else.
-struct LogReport {
-    const char* word;
+/// A command that reads only log files.
+struct LogCommand {
+    const char* name;
     int (*run)(const std::vector<std::string>& files);
 };
 
-constexpr LogReport kLogReports[] = {{"crashes", &reportCrashes}, {"repeats", &reportRepeats}};
+constexpr LogCommand kLogCommands[] = {{"crashes", &reportCrashes}, {"repeats", &reportRetries}};
 
-/// @return null if the first word is none of them.
-const LogReport* logReportOf(const std::vector<std::string>& words) {
-    const auto* found = std::find_if(std::begin(kLogReports), std::end(kLogReports),
-                                     [&](const LogReport& it) { return !words.empty() && words[0] == it.word; });
-    return found == std::end(kLogReports) ? nullptr : found;
+/// @return null if the first argument is not a log command.
+const LogCommand* findLogCommand(const std::vector<std::string>& args) {
+    const auto* found = std::find_if(std::begin(kLogCommands), std::end(kLogCommands),
+                                     [&](const LogCommand& it) { return !args.empty() && args[0] == it.name; });
+    return found == std::end(kLogCommands) ? nullptr : found;
 }
 
-int runLogReport(const LogReport& report, const std::vector<std::string>& words) {
-    if (words.size() < 2) {
-        std::cerr << report.word << ": one log file at least is expected\n";
+int runLogCommand(const LogCommand& command, const std::vector<std::string>& args) {
+    if (args.size() < 2) {
+        std::cerr << command.name << ": one log file at least is expected\n";
         return kExitBadInput;
     }
-    return report.run({words.begin() + 1, words.end()});
+    return command.run({args.begin() + 1, args.end()});
 }
 
-int runWith(const cxxopts::ParseResult& given, const TableStoreFactory& factory) {
-    Request request;
-    const auto output = given["output"].as<std::string>();
+/// Builds the CommandLine from the parsed options and runs the command.
+int runArguments(const cxxopts::ParseResult& parsed, const TableStoreFactory& factory) {
+    CommandLine command;
+    const auto output = parsed["output"].as<std::string>();
     if (output != "text" && output != "json" && output != "csv") {
         std::cerr << "flags: --output: got '" << output << "', allowed: text, json, csv\n";
         return kExitBadInput;
     }
-    request.output = output == "json" ? Output::kJson : (output == "csv" ? Output::kCsv : Output::kText);
-    request.wait = Duration(static_cast<std::int64_t>(given["wait"].as<double>() * 1e6));
-    if (given.count("words") > 0) {
-        request.words = given["words"].as<std::vector<std::string>>();
+    command.output =
+        output == "json" ? OutputFormat::kJson : (output == "csv" ? OutputFormat::kCsv : OutputFormat::kText);
+    command.wait = Duration(static_cast<std::int64_t>(parsed["wait"].as<double>() * 1e6));
+    if (parsed.count("words") > 0) {
+        command.args = parsed["words"].as<std::vector<std::string>>();
     }
-    const auto& words = request.words;
-    if (words == std::vector<std::string>{"table", "columns"}) {
+    const auto& args = command.args;
+    if (args == std::vector<std::string>{"table", "columns"}) {
         std::cout << renderColumns();
         return kExitOk;
     }
-    if (const auto* report = logReportOf(words)) {
-        return runLogReport(*report, words);
+    if (const auto* log_command = findLogCommand(args)) {
+        return runLogCommand(*log_command, args);
     }
-    if (words.empty() || words[0] != "explain") {
-        return runWithStore(given, std::move(request), factory);
+    if (args.empty() || args[0] != "explain") {
+        return runStoreCommand(parsed, std::move(command), factory);
     }
-    if (words.size() < kLeastExplainWords) {
-        std::cerr << "explain: a request's id and one log file at least are expected\n";
+    if (args.size() < kMinExplainArgs) {
+        std::cerr << "explain: the id of a request and at least one log file are expected\n";
         return kExitBadInput;
     }
-    return explain(words[1], {words.begin() + 2, words.end()});
+    return explain(args[1], {args.begin() + 2, args.end()});
 }
 
 }  // namespace
@@ -115,12 +119,12 @@
 int run(int argc, char** argv, const TableStoreFactory& factory) {
     auto options = makeOptions();
     try {
-        const auto given = options.parse(argc, argv);
-        if (given.count("help") > 0) {
+        const auto parsed = options.parse(argc, argv);
+        if (parsed.count("help") > 0) {
             std::cout << options.help();
             return kExitOk;
         }
-        return runWith(given, factory);
+        return runArguments(parsed, factory);
     } catch (const cxxopts::exceptions::exception& error) {
         std::cerr << "flags: " << error.what() << '\n';
         return kExitBadInput;
--- a/apps/ctl/run.h
+++ b/apps/ctl/run.h
@@ -1,12 +1,14 @@
 /// @file
-/// dewcrank: the operators' command line, for any platform's store.
+/// Entry point of `dewcrank`, the operators' command line tool, independent of the platform's store.
 #pragma once
 
 #include "apps/ctl/blocking_client.h"
 
 namespace dewcrank::ctl {
 
-/// @return the program's exit code.
+/// Parses the command line and runs the command.
+/// @param factory creates the client of the platform's store.
+/// @return the exit code of the program.
 int run(int argc, char** argv, const TableStoreFactory& factory);
 
 }  // namespace dewcrank::ctl
--- a/apps/ctl/table_view.cc
+++ b/apps/ctl/table_view.cc
@@ -15,8 +15,8 @@
 
 constexpr const char* kStep = "table.import";
 
-/// Lines up the columns of a small table.
-std::string aligned(const std::vector<TextRow>& rows) {
+/// Pads the cells so that columns are aligned.
+std::string alignColumns(const std::vector<TextRow>& rows) {
     std::vector<std::size_t> widths;
     for (const auto& row : rows) {
         widths.resize(std::max(widths.size(), row.size()));
@@ -53,7 +53,7 @@
             }
             lines.push_back(std::move(line));
         }
-        text += aligned(lines) + '\n';
+        text += alignColumns(lines) + '\n';
     }
     return text;
 }
@@ -140,14 +140,14 @@
 
 }  // namespace
 
-std::string renderTable(const wire::RouteTable& table, Output output) {
+std::string renderTable(const wire::RouteTable& table, OutputFormat output) {
     const auto rows = policy::rowsOf(table);
     switch (output) {
-        case Output::kJson:
+        case OutputFormat::kJson:
             return asJson(rows);
-        case Output::kCsv:
+        case OutputFormat::kCsv:
             return asCsv(rows);
-        case Output::kText:
+        case OutputFormat::kText:
             break;
     }
     return "version " + std::to_string(table.version()) + "\n\n" + asText(rows);
@@ -160,7 +160,7 @@
             lines.push_back({type, column.name, column.meaning, column.allowed});
         }
     }
-    return aligned(lines);
+    return alignColumns(lines);
 }
 
 Result<Rows> parseRows(const std::string& file, const std::string& text) {
--- a/apps/ctl/table_view.h
+++ b/apps/ctl/table_view.h
@@ -1,5 +1,5 @@
 /// @file
-/// The table in the three forms in which it is shown and read: text, JSON and CSV.
+/// Formats and parses the route table as text, JSON or CSV.
 #pragma once
 
 #include <map>
@@ -11,13 +11,14 @@
 
 namespace dewcrank::ctl {
 
-enum class Output { kText, kJson, kCsv };
+enum class OutputFormat { kText, kJson, kCsv };
 
-std::string renderTable(const wire::RouteTable& table, Output output);
-/// The columns of all types of rows, with what they may hold.
+/// @return the table in the given format.
+std::string renderTable(const wire::RouteTable& table, OutputFormat output);
+/// @return a text table of the columns of all row types, with their meaning and allowed values.
 std::string renderColumns();
-/// Reads rows from the JSON or CSV form that `renderTable` writes. Empty cells of CSV are left out. An
-/// error names file and line or row.
+/// Parses rows in the JSON or CSV format of `renderTable`. Empty CSV cells are skipped.
+/// @param file name of the file, for errors, which also name the line or the row.
 Result<std::map<std::string, policy::RowCells>> parseRows(const std::string& file, const std::string& text);
 
 }  // namespace dewcrank::ctl
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs the packages of packages.txt that are missing (Debian 12).
+# Installs the missing packages of packages.txt (Debian 12).
 set -eu
 list=$(grep -v '^#' "$(dirname "$0")/../packages.txt")
 missing=""
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# A fault soak: real nodes as processes of their own under random faults, held to their promises.
+# Fault soak: runs a fleet of node processes under injected faults and checks the outcomes of requests.
 #   scripts/soak.sh [--seed N] [--seconds S] [--programs DIR] [--keep DIR] [-- flags of dewcrank-soak]
-#   scripts/soak.sh --regress      each seed of tests/soak/seeds.txt, which all failed once
-# Without --seed a fresh one is drawn. The logs of a soak that breaks a promise are kept.
+#   scripts/soak.sh --regress      runs each seed of tests/soak/seeds.txt: seeds that failed before
+# Without --seed, a random seed is used. The logs of a failed soak are kept.
 set -u
 cd "$(dirname "$0")/.."
 programs=build/bin
@@ -22,7 +22,8 @@
     esac
 done
 
-# supervise NAME: runs a node, and again whenever it has ended, until the fleet is taken down.
+# supervise NAME: runs a node and restarts it whenever it exits, until the fleet is stopped. A file NAME.held delays
+# the restart.
 supervise() {
     local name=$1 process code
     while [ -e "$fleet/running" ]; do
@@ -42,8 +43,8 @@
     done
 }
 
-# take_down: ends the nodes that are left, by the ids that their supervisors have written.
-take_down() {
+# stop_fleet: kills the remaining nodes by the process ids that their supervisors wrote.
+stop_fleet() {
     local file process
     rm -f "$fleet/running"
     for file in "$fleet"/*.pid; do
@@ -55,7 +56,7 @@
     wait
 }
 
-# soak SEED SECONDS FLAGS...: one soak. Exit code 0 if no promise was seen broken.
+# soak SEED SECONDS FLAGS...: runs one soak. Returns the exit code of dewcrank-soak, which is 0 if all checks passed.
 soak() {
     local seed=$1 seconds=$2 driver result=0 name
     shift 2
@@ -74,7 +75,7 @@
         done < "$fleet/nodes"
     fi
     wait "$driver" || result=$?
-    take_down
+    stop_fleet
     if [ "$result" != 0 ]; then
         echo "seed $seed, $seconds s: exit code $result; logs: $fleet"
     elif [ -z "$keep" ]; then
