--- a/tests/support/fakes.h
+++ b/tests/support/fakes.h
@@ -1,5 +1,5 @@
 /// @file
-/// Small stand-ins for ports, for tests.
+/// Test doubles of the log and the clock, and a helper for results.
 #pragma once
 
 #include <string>
@@ -11,21 +11,23 @@
 
 namespace dewcrank::tests {
 
-/// Keeps the lines that are written.
+/// Event log that keeps its lines in memory.
 class RecordingLog : public EventLog {
 public:
     void write(const Event& event) override { lines.push_back(event.line()); }
     std::vector<std::string> lines;
 };
 
-/// A virtual clock with one host.
+/// Event queue and clock in virtual time, for one host.
 struct VirtualTime {
     sim::EventQueue queue;
     sim::Host clock{queue, "north"};
+    /// Runs all events that are due within `duration`.
     void advance(Duration duration) { queue.runUntil(queue.now() + duration); }
 };
 
-/// Text of the error of a failed result; empty if it did not fail.
+/// @param body function that returns a result.
+/// @return the text of its error; empty on success.
 template <typename Body>
 std::string errorOf(Body body) {
     std::string text;
--- a/tests/support/main.cc
+++ b/tests/support/main.cc
@@ -1,3 +1,3 @@
-/// The one file of a test program that brings Boost.Test's main function.
+/// Defines the main function of each test program through Boost.Test.
 #define BOOST_TEST_MODULE dewcrank
 #include <boost/test/unit_test.hpp>
--- a/tests/support/mutation.h
+++ b/tests/support/mutation.h
@@ -1,5 +1,5 @@
 /// @file
-/// Random changes of bytes, from a seed: input for tests of whatever reads bytes from outside.
+/// Seeded mutation of texts, as input for fuzz tests of parsers.
 #pragma once
 
 #include <string>
@@ -9,12 +9,13 @@
 
 namespace dewcrank::tests {
 
-/// Changes texts as faulty and hostile senders would. The same seed gives the same texts.
+/// Applies random deletions, insertions, replacements and duplications. The same seed gives the same texts.
 class Mutator {
 public:
-    /// @param fragments texts that mean something to the reader under test.
+    /// @param fragments tokens of the format under test, which are inserted into texts.
     Mutator(std::uint64_t seed, std::vector<std::string> fragments) : random_(seed), fragments_(std::move(fragments)) {}
 
+    /// @return the text after one to four changes.
     std::string mutated(std::string text) {
         const auto changes = 1 + random_.below(4);
         for (std::uint64_t change = 0; change < changes; ++change) {
@@ -22,6 +23,7 @@
         }
         return text;
     }
+    /// @return a random number from 0 to `bound` - 1.
     std::size_t below(std::size_t bound) { return static_cast<std::size_t>(random_.below(bound)); }
 
 private:
