--- a/tests/standins/object_store.cc
+++ b/tests/standins/object_store.cc
@@ -183,7 +183,6 @@
     copy_ = {revision_, objects_, history_};
 }
 
-/// Open watches are aborted.
 void ObjectStore::restoreFromBackup() {
     ++era_;
     revision_ = copy_.revision;
--- a/tests/unit/ctl/crash_report_test.cc
+++ b/tests/unit/ctl/crash_report_test.cc
@@ -7,8 +7,8 @@
 
 BOOST_AUTO_TEST_SUITE(unit_ctl_crash_report)
 
-/// A request that crashes instances has another id at each node. Its fingerprint must separate it from the requests
-/// that were running at the same time.
+/// Guards against blaming concurrent requests: a crashing request has a different id at each node, so the report must
+/// identify the request by its fingerprint.
 BOOST_AUTO_TEST_CASE(the_request_lost_at_most_instances_comes_first) {
     const std::string failed = " event=instance_failed reason=connection-closed sent=yes route=/work/ ";
     std::istringstream one("time=2026-01-01T10:00:01.000" + failed + "request=r1 instance=i1 fingerprint=aa\n" +
--- a/tests/unit/ctl/explain_test.cc
+++ b/tests/unit/ctl/explain_test.cc
@@ -7,7 +7,7 @@
 
 BOOST_AUTO_TEST_SUITE(unit_ctl_explain)
 
-/// Lines of several logs must be merged by time, and state changes long before the request left out.
+/// Guards against lines of several logs out of time order, and against state changes long before the request.
 BOOST_AUTO_TEST_CASE(lines_of_a_request_are_sorted_by_time_with_state_changes_near_them) {
     ctl::RequestTrace trace("r7");
     std::istringstream entry(
--- a/tests/unit/entry/relay_selector_test.cc
+++ b/tests/unit/entry/relay_selector_test.cc
@@ -24,7 +24,7 @@
     return record;
 }
 
-/// This node's instance belongs to another service.
+/// @return the record of the local node, whose instance belongs to another service.
 wire::NodeRecord selfRecord() {
     auto record = recordOf("self", "north");
     record.mutable_instance()->set_service("other");
@@ -37,7 +37,7 @@
             directory.merge(recordOf(name, "north"));
         }
     }
-    /// @return number of calls per relay. Calls to `failing` fail, all others succeed.
+    /// @return the number of calls per relay. Calls to `failing` fail, all others succeed.
     std::map<std::string, int> chosenCounts(int calls, const std::string& failing) {
         std::map<std::string, int> chosen;
         for (int call = 0; call < calls; ++call) {
--- a/tests/unit/platform/platform_test.cc
+++ b/tests/unit/platform/platform_test.cc
@@ -23,7 +23,7 @@
   "Services":{"s1":{"HealthPath":"/health","MaxConnections":364}},
   "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":1000,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}})";
 
-/// Records each request; the test completes the pending requests in order.
+/// Records requests; a test completes the pending requests in order.
 class ScriptedHttp : public HttpTransport {
 public:
     struct SentRequest {
@@ -230,7 +230,7 @@
     BOOST_TEST(listener.heartbeats.size() == 1U);
 }
 
-/// A field that is missing, of a wrong type or out of range must not reach the listener, and the error must name it.
+/// Guards against invalid fields that reach the listener, and against errors that do not name the invalid field.
 BOOST_AUTO_TEST_CASE(heartbeats_of_other_writers_are_refused_by_the_name_of_the_field) {
     using Json = nlohmann::json;
     const Json valid = {{"Address", "1.1.1.1:1"},
--- a/tests/unit/quarantine/exchange_test.cc
+++ b/tests/unit/quarantine/exchange_test.cc
@@ -139,7 +139,7 @@
     BOOST_TEST((relays[5]->quarantine.state(kTwo) == QuarantineState::kSuspect));
 }
 
-/// A relay where the request completed must clear it at the relay that reported the crash.
+/// Guards against a request that stays suspect or quarantined although another relay has seen the request complete.
 BOOST_AUTO_TEST_CASE(a_completion_at_one_relay_clears_the_request_at_all) {
     relays[3]->quarantine.onCompleted(kOne);
     relays[3]->quarantine.onCompleted(kTwo);
--- a/tests/unit/quarantine/trial_gate_test.cc
+++ b/tests/unit/quarantine/trial_gate_test.cc
@@ -15,7 +15,7 @@
         time.advance(10s);
         gate.setConditionsSource([this] { return now; });
     }
-    /// @return how long a suspect waits right after a crash; nothing if this relay may run no trials.
+    /// @return the time that a suspect waits right after a crash; nullopt if this relay may run no trials.
     std::optional<Duration> waitAfterCrash(const fleet::Replicas& replicas, double utilization = 0.1) {
         now = {replicas, utilization};
         gate.onInstanceCrashed();
@@ -57,7 +57,7 @@
     BOOST_TEST((waitAfterCrash({3, 0, 0}) == knobs.settle_time));
 }
 
-/// A crash must not leave two instances with the load of three.
+/// Guards against a trial whose crash leaves too few instances for the load of the service.
 BOOST_AUTO_TEST_CASE(without_spare_capacity_suspects_wait_for_the_crashed_instance) {
     BOOST_TEST((waitAfterCrash({3, 0, 0}, 0.6) == knobs.settle_time));
     BOOST_TEST((waitAfterCrash({3, 0, 0}, 0.7) == knobs.max_restart_time));
--- a/tests/unit/quota/quota_test.cc
+++ b/tests/unit/quota/quota_test.cc
@@ -22,7 +22,7 @@
     return tenant;
 }
 
-/// Greatest number of tokens granted within any window of this length.
+/// @return the greatest number of tokens granted within any time span of length `window`.
 double maxTokensIn(const std::vector<TimePoint>& granted, Duration window) {
     std::ptrdiff_t max_tokens = 0;
     for (auto begin = granted.begin(); begin != granted.end(); ++begin) {
@@ -83,8 +83,9 @@
     }
 }
 
-/// Share of a tenant's requests that get no token, at 0.62 of its limit and spread over the nodes of a fleet.
-/// @param has_shards true: up to three of its shards are tried; false: each node has an equal part of the limit.
+/// Simulates a tenant that sends at 0.62 of its limit, spread over the nodes of a fleet.
+/// @param has_shards true: up to three shards are tried per request; false: each node has an equal part of the limit.
+/// @return the share of requests that receive no token.
 double refusedRatio(double rate, std::size_t nodes, bool has_shards, std::uint64_t seed) {
     adapters::SeededRandom random(seed);
     const auto tenant = tenantOf(rate, rate);
--- a/tests/unit/relay/relay_retries_test.cc
+++ b/tests/unit/relay/relay_retries_test.cc
@@ -64,7 +64,7 @@
 
 BOOST_AUTO_TEST_SUITE(unit_relay_retries)
 
-/// All retries fall within one window, and each relay spends all of its budget at every step.
+/// Guards against slack that is spent twice, when all relays spend their whole budgets and stop within one window.
 BOOST_AUTO_TEST_CASE(the_slack_is_spent_only_once_while_relays_stop) {
     Service service;
     service.runFor(kBound.window * 2);
@@ -77,7 +77,7 @@
     BOOST_TEST(service.retries <= allowed, service.retries << " retries, " << allowed << " allowed");
 }
 
-/// The slack of a relay that has gone is reserved for one window; the remaining relays use it afterwards.
+/// Guards against the loss of the slack of stopped relays: after one window the remaining relays may use this slack.
 BOOST_AUTO_TEST_CASE(the_last_relay_has_the_whole_slack_after_a_window) {
     Service service;
     service.runFor(kBound.window);
