--- a/sim/sidecar_fleet.h
+++ b/sim/sidecar_fleet.h
@@ -60,10 +60,10 @@
     std::string key;                  ///< API key of the caller; empty: none.
 };
 
-/// A violated invariant, with the request, instance or service that showed it.
+/// A violated invariant.
 struct Violation {
-    std::string invariant;
-    std::string detail;
+    std::string invariant;  ///< Its name; same as in tests/soak/checks.cc if both check it.
+    std::string detail;     ///< Which request, instance or service violated it.
 };
 
 /// A whole simulated fleet, deterministic for each seed. Machines are named "m0", "m1", ... and are distributed over
@@ -74,7 +74,7 @@
     /// @param services whose machines start at once, in this order.
     /// @param disabled mechanisms that are switched off in every node.
     /// @param tenants of the tables that are put; if there are any, nodes enforce `kRevocationBound`.
-    /// @param seeds number of the first machines whose addresses nodes get as seeds of gossip.
+    /// @param seeds how many of the first machines are gossip seeds of all nodes.
     SidecarFleet(std::uint64_t seed, const std::vector<FleetService>& services, const DisabledMechanisms& disabled = {},
                  std::vector<wire::Tenant> tenants = {}, std::size_t seeds = 3);
     ~SidecarFleet();
@@ -91,7 +91,7 @@
     /// @return the host on which the node of a machine runs.
     Host& host(std::size_t machine);
     void runFor(Duration duration) { queue_.runUntil(queue_.now() + duration); }
-    /// Runs an action after a delay, whichever hosts are up then.
+    /// Runs an action after a delay, also if hosts are down by then.
     void after(Duration wait, std::function<void()> action) {
         queue_.schedule(queue_.now() + wait, nullptr, std::move(action));
     }
@@ -184,7 +184,7 @@
     std::vector<AttemptHandle> attempts_;
     std::vector<Host*> caller_hosts_;
     std::vector<std::unique_ptr<Host>> owned_hosts_;
-    std::map<std::string, TimePoint> drained_at_;  ///< By incarnation: when a node received that it drains or leaves.
+    std::map<std::string, TimePoint> drained_at_;  ///< By incarnation: when its node received that it drains or leaves.
     std::vector<Suspension> suspensions_;
     std::set<std::string> allowed_routes_;  ///< "path service" of every route in any table.
     std::uint64_t table_version_ = 0;
--- a/tests/simulation/repeat_budget_test.cc
+++ b/tests/simulation/repeat_budget_test.cc
@@ -114,7 +114,7 @@
 
 BOOST_AUTO_TEST_SUITE(simulation_repeat_budget)
 
-/// In each sliding window and at each service.
+/// The limit holds in each sliding window and at each service.
 BOOST_AUTO_TEST_CASE(retries_stay_within_their_limit_over_the_whole_fleet) {
     for (const auto& [name, fault] : kFaults) {
         for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
